--- a/bench/http_stacks.cpp
+++ b/bench/http_stacks.cpp
@@ -19,7 +19,7 @@
 #include <vector>
 
 #include "control/api/http.hpp"
-#include "dataplane/ingress.hpp"
+#include "dataplane/ingress/ingress.hpp"
 
 namespace {
 
--- a/examples/main.cpp
+++ b/examples/main.cpp
@@ -2,7 +2,7 @@
 // first of which turns every request away.
 #include <cstdio>
 #include <map>
-#include <merlinrun/balancer.hpp>
+#include <violetwing_balancer/balancer.hpp>
 #include <string>
 #include <utility>
 #include <vector>
@@ -10,31 +10,31 @@
 namespace {
 
 // A real caller sends here; this one notes what it is asked to do.
-class Sink : public merlinrun::ActionSink {
+class Sink : public violetwing::balancer::ActionSink {
  public:
-  void Send(std::string_view request, const std::string& server, merlinrun::Micros,
-            merlinrun::Micros) override {
+  void Send(std::string_view request, const std::string& server, violetwing::balancer::Micros,
+            violetwing::balancer::Micros) override {
     std::printf("send    %s to %s\n", std::string(request).c_str(), server.c_str());
     sent.emplace_back(request, server);
   }
   void Cancel(std::string_view, int) override {}
-  void Refuse(std::string_view request, merlinrun::Micros after) override {
+  void Refuse(std::string_view request, violetwing::balancer::Micros after) override {
     std::printf("refuse  %s, back after %lld us\n", std::string(request).c_str(),
                 static_cast<long long>(after));
   }
   void Fail(std::string_view request) override { std::printf("fail    %s\n", std::string(request).c_str()); }
-  void SetTimer(merlinrun::Micros delay, std::uint64_t token) override { timers[token] = delay; }
+  void SetTimer(violetwing::balancer::Micros delay, std::uint64_t token) override { timers[token] = delay; }
   void Subscribe() override {}
   void Log(std::string_view) override {}
 
   std::vector<std::pair<std::string, std::string>> sent;
-  std::map<std::uint64_t, merlinrun::Micros> timers;
+  std::map<std::uint64_t, violetwing::balancer::Micros> timers;
 };
 
 }  // namespace
 
 int main() {
-  using namespace merlinrun;
+  using namespace violetwing::balancer;
   Settings settings;
   RequestClass look;
   look.name = "look";
--- a/include/merlinrun/balancer.hpp
+++ b/include/violetwing_balancer/balancer.hpp
@@ -1,4 +1,4 @@
-// The interface of merlinrun: the decisions of a sidecar balancer for service-to-service calls.
+// The interface of violetwing::balancer: the decisions of a sidecar balancer for service-to-service calls.
 //
 // A Balancer holds no socket, no clock and no thread. The caller delivers events, each with the present time,
 // and carries out the actions that the balancer hands to its ActionSink before the event call returns.
@@ -13,8 +13,8 @@
 // delivered a second time, are ignored; a second OnRequest with the id of a request that is still held is
 // ignored too. A request of an unknown class fails. Times and settings are taken to be under 2^60
 // microseconds.
-#ifndef MERLINRUN_BALANCER_HPP_
-#define MERLINRUN_BALANCER_HPP_
+#ifndef VIOLETWING_BALANCER_BALANCER_HPP_
+#define VIOLETWING_BALANCER_BALANCER_HPP_
 
 #include <cstdint>
 #include <memory>
@@ -25,7 +25,7 @@
 #include <string_view>
 #include <vector>
 
-namespace merlinrun {
+namespace violetwing::balancer {
 
 using Micros = std::int64_t;
 
@@ -261,6 +261,6 @@
   std::unique_ptr<State> state_;
 };
 
-}  // namespace merlinrun
+}  // namespace violetwing::balancer
 
-#endif  // MERLINRUN_BALANCER_HPP_
+#endif  // VIOLETWING_BALANCER_BALANCER_HPP_
--- a/src/admission.cpp
+++ b/src/balancer/admission.cpp
@@ -1,9 +1,9 @@
-#include "admission.hpp"
+#include "balancer/admission.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace merlinrun {
+namespace violetwing::balancer {
 namespace {
 
 // Overload. Each outcome moves the share of the work that is let in by kAdmitStep for each whole target that
@@ -210,4 +210,4 @@
                           kAdmitLeast, kAdmitMost);
 }
 
-}  // namespace merlinrun
+}  // namespace violetwing::balancer
--- a/src/admission.hpp
+++ b/src/balancer/admission.hpp
@@ -1,16 +1,16 @@
 // Admission: which work is let in under pressure, and what outcomes tell of the pressure. A part of the
 // decision module.
-#ifndef MERLINRUN_SRC_ADMISSION_HPP_
-#define MERLINRUN_SRC_ADMISSION_HPP_
+#ifndef VIOLETWING_BALANCER_ADMISSION_HPP_
+#define VIOLETWING_BALANCER_ADMISSION_HPP_
 
 #include <cstddef>
 #include <optional>
 #include <vector>
 
-#include "merlinrun/balancer.hpp"
-#include "records.hpp"
+#include "balancer/records.hpp"
+#include "violetwing_balancer/balancer.hpp"
 
-namespace merlinrun {
+namespace violetwing::balancer {
 
 class Admission {
  public:
@@ -59,6 +59,6 @@
   bool hinted_ = false;  // requests carry their expected work
 };
 
-}  // namespace merlinrun
+}  // namespace violetwing::balancer
 
-#endif  // MERLINRUN_SRC_ADMISSION_HPP_
+#endif  // VIOLETWING_BALANCER_ADMISSION_HPP_
--- a/src/evidence.cpp
+++ b/src/balancer/evidence.cpp
@@ -1,8 +1,8 @@
-#include "evidence.hpp"
+#include "balancer/evidence.hpp"
 
 #include <algorithm>
 
-namespace merlinrun {
+namespace violetwing::balancer {
 namespace {
 
 // Answers over which a class's usual time is remembered.
@@ -50,4 +50,4 @@
   return outcome.result != Result::kRefused;
 }
 
-}  // namespace merlinrun
+}  // namespace violetwing::balancer
--- a/src/policy.cpp
+++ b/src/balancer/policy.cpp
@@ -1,5 +1,6 @@
-// Every decision of merlinrun but admission's (admission.cpp), what a server may be sent (room.cpp), what
-// outcomes tell of servers (evidence.cpp) and zones (zones.cpp). Interface: include/merlinrun/balancer.hpp.
+// Every decision of violetwing::balancer but admission's (admission.cpp), what a server may be sent
+// (room.cpp), what outcomes tell of servers (evidence.cpp) and zones (zones.cpp). Interface:
+// include/violetwing_balancer/balancer.hpp.
 //
 // Order of this file: tunables, state, the list of servers and the window, a request's life, discovery.
 #include <algorithm>
@@ -11,15 +12,15 @@
 #include <unordered_set>
 #include <utility>
 
-#include "admission.hpp"
-#include "evidence.hpp"
-#include "merlinrun/balancer.hpp"
-#include "records.hpp"
-#include "room.hpp"
-#include "settings.hpp"
-#include "zones.hpp"
+#include "balancer/admission.hpp"
+#include "balancer/evidence.hpp"
+#include "balancer/records.hpp"
+#include "balancer/room.hpp"
+#include "balancer/settings.hpp"
+#include "balancer/zones.hpp"
+#include "violetwing_balancer/balancer.hpp"
 
-namespace merlinrun {
+namespace violetwing::balancer {
 namespace {
 
 constexpr Micros kMillisecond = 1000;
@@ -620,4 +621,4 @@
 }
 std::size_t Balancer::requests_held() const { return state_->size(); }
 
-}  // namespace merlinrun
+}  // namespace violetwing::balancer
--- a/src/records.hpp
+++ b/src/balancer/records.hpp
@@ -1,15 +1,15 @@
 // The plain records of the decision module, and its random numbers. No decision is taken here.
-#ifndef MERLINRUN_SRC_RECORDS_HPP_
-#define MERLINRUN_SRC_RECORDS_HPP_
+#ifndef VIOLETWING_BALANCER_RECORDS_HPP_
+#define VIOLETWING_BALANCER_RECORDS_HPP_
 
 #include <algorithm>
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "merlinrun/balancer.hpp"
+#include "violetwing_balancer/balancer.hpp"
 
-namespace merlinrun {
+namespace violetwing::balancer {
 
 // The one place that says which outcomes prove that the attempt never ran. Some servers also turn away what
 // they had begun: their refusal proves nothing.
@@ -151,6 +151,6 @@
   std::uint64_t state_;
 };
 
-}  // namespace merlinrun
+}  // namespace violetwing::balancer
 
-#endif  // MERLINRUN_SRC_RECORDS_HPP_
+#endif  // VIOLETWING_BALANCER_RECORDS_HPP_
--- a/src/room.cpp
+++ b/src/balancer/room.cpp
@@ -1,9 +1,9 @@
-#include "room.hpp"
+#include "balancer/room.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace merlinrun {
+namespace violetwing::balancer {
 namespace {
 
 // Servers in the window. Few enough that each server holds connections from few sidecars, enough to leave a
@@ -96,4 +96,4 @@
   return server.slow_start_credit >= 1 || (sound == 0 && server.Working() < most);
 }
 
-}  // namespace merlinrun
+}  // namespace violetwing::balancer
--- a/src/room.hpp
+++ b/src/balancer/room.hpp
@@ -1,16 +1,16 @@
 // What one server of a window may be sent now: its part of what may be out, the credit that one in slow start
 // has earned, and the time for which an outlier is ejected. A part of the decision module.
-#ifndef MERLINRUN_SRC_ROOM_HPP_
-#define MERLINRUN_SRC_ROOM_HPP_
+#ifndef VIOLETWING_BALANCER_ROOM_HPP_
+#define VIOLETWING_BALANCER_ROOM_HPP_
 
 #include <cstddef>
 #include <cstdint>
 
-#include "admission.hpp"
-#include "merlinrun/balancer.hpp"
-#include "records.hpp"
+#include "balancer/admission.hpp"
+#include "balancer/records.hpp"
+#include "violetwing_balancer/balancer.hpp"
 
-namespace merlinrun {
+namespace violetwing::balancer {
 
 // Servers in the window on the pool's ring; by its own traffic and never by the fleet's size.
 std::size_t Width(const Pool& pool);
@@ -58,6 +58,6 @@
   std::int64_t served_warm_ = 0;  // attempts that succeeded at warm servers
 };
 
-}  // namespace merlinrun
+}  // namespace violetwing::balancer
 
-#endif  // MERLINRUN_SRC_ROOM_HPP_
+#endif  // VIOLETWING_BALANCER_ROOM_HPP_
--- a/src/settings.cpp
+++ b/src/balancer/settings.cpp
@@ -1,6 +1,6 @@
-#include "settings.hpp"
+#include "balancer/settings.hpp"
 
-namespace merlinrun {
+namespace violetwing::balancer {
 
 std::string WhatIsWrong(const Settings& settings) {
   std::string error;
@@ -23,4 +23,4 @@
   return error;
 }
 
-}  // namespace merlinrun
+}  // namespace violetwing::balancer
--- a/src/zones.cpp
+++ b/src/balancer/zones.cpp
@@ -1,10 +1,10 @@
-#include "zones.hpp"
+#include "balancer/zones.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace merlinrun {
+namespace violetwing::balancer {
 namespace {
 
 // Steps of a return. Each is felt before the next comes, where the operator gives it a second or two.
@@ -47,4 +47,4 @@
   return std::exchange(turned_, false);
 }
 
-}  // namespace merlinrun
+}  // namespace violetwing::balancer
--- a/src/zones.hpp
+++ b/src/balancer/zones.hpp
@@ -1,13 +1,13 @@
 // Zones taken out by hand and brought back: how far each is open at a moment. docs/zones.md has the reasons.
-#ifndef MERLINRUN_SRC_ZONES_HPP_
-#define MERLINRUN_SRC_ZONES_HPP_
+#ifndef VIOLETWING_BALANCER_ZONES_HPP_
+#define VIOLETWING_BALANCER_ZONES_HPP_
 
 #include <map>
 
-#include "merlinrun/balancer.hpp"
-#include "records.hpp"
+#include "balancer/records.hpp"
+#include "violetwing_balancer/balancer.hpp"
 
-namespace merlinrun {
+namespace violetwing::balancer {
 
 class Zones {
  public:
@@ -31,6 +31,6 @@
   bool turned_ = false;
 };
 
-}  // namespace merlinrun
+}  // namespace violetwing::balancer
 
-#endif  // MERLINRUN_SRC_ZONES_HPP_
+#endif  // VIOLETWING_BALANCER_ZONES_HPP_
--- a/src/drill/host.cpp
+++ b/src/bench_adapter/host.cpp
@@ -1,11 +1,11 @@
-#include "host.hpp"
+#include "bench_adapter/host.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <exception>
 #include <utility>
 
-namespace merlinrun::drill {
+namespace violetwing::bench_adapter {
 namespace {
 
 constexpr std::string_view kPrefix = "sidecar/";
@@ -286,4 +286,4 @@
   return Fields(name.substr(kPrefix.size())).NonNegative("sidecar");
 }
 
-}  // namespace merlinrun::drill
+}  // namespace violetwing::bench_adapter
--- a/src/drill/host.hpp
+++ b/src/bench_adapter/host.hpp
@@ -1,7 +1,7 @@
 // The instances of one process: takes the wire's lines, drives a Balancer for each sidecar, collects the
 // reply.
-#ifndef MERLINRUN_DRILL_HOST_HPP_
-#define MERLINRUN_DRILL_HOST_HPP_
+#ifndef VIOLETWING_BENCH_ADAPTER_HOST_HPP_
+#define VIOLETWING_BENCH_ADAPTER_HOST_HPP_
 
 #include <array>
 #include <cstdint>
@@ -11,10 +11,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "merlinrun/balancer.hpp"
-#include "wire.hpp"
+#include "bench_adapter/balancer_types.hpp"
+#include "bench_adapter/wire.hpp"
 
-namespace merlinrun::drill {
+namespace violetwing::bench_adapter {
 
 class Host {
  public:
@@ -55,6 +55,6 @@
   std::unordered_map<std::int64_t, std::unique_ptr<Instance>> instances_;  // looked up, never walked
 };
 
-}  // namespace merlinrun::drill
+}  // namespace violetwing::bench_adapter
 
-#endif  // MERLINRUN_DRILL_HOST_HPP_
+#endif  // VIOLETWING_BENCH_ADAPTER_HOST_HPP_
--- a/src/drill/main.cpp
+++ b/src/bench_adapter/main.cpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "host.hpp"
+#include "bench_adapter/host.hpp"
 
 namespace {
 
@@ -27,7 +27,7 @@
 }
 
 int Serve() {
-  merlinrun::drill::Host host;
+  violetwing::bench_adapter::Host host;
   std::vector<char> chunk(kReadSize);
   std::string partial;  // a line whose end has not been read yet
   for (;;) {
@@ -62,7 +62,7 @@
   try {
     return Serve();
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "merlinrun_drill: %s\n", error.what());
+    std::fprintf(stderr, "violetwing-bench-adapter: %s\n", error.what());
     return 2;
   }
 }
--- a/src/drill/wire.cpp
+++ b/src/bench_adapter/wire.cpp
@@ -1,4 +1,4 @@
-#include "wire.hpp"
+#include "bench_adapter/wire.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -7,7 +7,7 @@
 #include <map>
 #include <utility>
 
-namespace merlinrun::drill {
+namespace violetwing::bench_adapter {
 namespace {
 
 constexpr std::int64_t kMostTime = std::int64_t{1} << 60;  // two of them can be added
@@ -313,4 +313,4 @@
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
 
-}  // namespace merlinrun::drill
+}  // namespace violetwing::bench_adapter
--- a/src/drill/wire.hpp
+++ b/src/bench_adapter/wire.hpp
@@ -1,6 +1,6 @@
 // The text wire of the bench: fields of a line, the settings, and the actions as lines. Takes no decisions.
-#ifndef MERLINRUN_DRILL_WIRE_HPP_
-#define MERLINRUN_DRILL_WIRE_HPP_
+#ifndef VIOLETWING_BENCH_ADAPTER_WIRE_HPP_
+#define VIOLETWING_BENCH_ADAPTER_WIRE_HPP_
 
 #include <cstdint>
 #include <optional>
@@ -8,9 +8,9 @@
 #include <string>
 #include <string_view>
 
-#include "merlinrun/balancer.hpp"
+#include "bench_adapter/balancer_types.hpp"
 
-namespace merlinrun::drill {
+namespace violetwing::bench_adapter {
 
 // What is wrong with a line; the host adds where it stands.
 class WireError : public std::runtime_error {
@@ -54,6 +54,6 @@
 // The index of a name in a list, or -1.
 int IndexOf(const std::vector<std::string>& names, std::string_view name);
 
-}  // namespace merlinrun::drill
+}  // namespace violetwing::bench_adapter
 
-#endif  // MERLINRUN_DRILL_WIRE_HPP_
+#endif  // VIOLETWING_BENCH_ADAPTER_WIRE_HPP_
--- a/src/cli/agent_command.cpp
+++ b/src/cli/agent_command.cpp
@@ -1,4 +1,4 @@
-#include "agent_command.hpp"
+#include "cli/agent_command.hpp"
 
 #include <sys/types.h>
 #include <unistd.h>
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "entry_options.hpp"
+#include "cli/entry_options.hpp"
 #include "registry/agent/shell.hpp"
 
 namespace violetwing::cli {
--- a/src/cli/http_call.cpp
+++ b/src/cli/http_call.cpp
@@ -1,4 +1,4 @@
-#include "http_call.hpp"
+#include "cli/http_call.hpp"
 
 #include <array>
 #include <boost/asio/connect.hpp>
--- a/src/cli/lab_command.cpp
+++ b/src/cli/lab_command.cpp
@@ -1,4 +1,4 @@
-#include "lab_command.hpp"
+#include "cli/lab_command.hpp"
 
 #include <unistd.h>
 
@@ -41,7 +41,7 @@
 }
 
 // The sidecar that was built beside this program.
-std::string UsualSidecar() { return (fs::path(Self()).parent_path() / "fennelhollow").string(); }
+std::string UsualSidecar() { return (fs::path(Self()).parent_path() / "violetwing-sidecar").string(); }
 
 void Write(const std::string& file, const std::string& text) {
   std::ofstream out(file, std::ios::binary);
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -5,11 +5,11 @@
 #include <exception>
 #include <string>
 
-#include "agent_command.hpp"
-#include "http_call.hpp"
-#include "lab_command.hpp"
-#include "registry_command.hpp"
-#include "zone_command.hpp"
+#include "cli/agent_command.hpp"
+#include "cli/http_call.hpp"
+#include "cli/lab_command.hpp"
+#include "cli/registry_command.hpp"
+#include "cli/zone_command.hpp"
 
 namespace {
 
--- a/src/cli/registry_command.cpp
+++ b/src/cli/registry_command.cpp
@@ -1,4 +1,4 @@
-#include "registry_command.hpp"
+#include "cli/registry_command.hpp"
 
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
@@ -12,9 +12,9 @@
 #include <stdexcept>
 #include <vector>
 
+#include "cli/entry_options.hpp"
+#include "cli/http_call.hpp"
 #include "common/http_client.hpp"
-#include "entry_options.hpp"
-#include "http_call.hpp"
 #include "registry/service.hpp"
 #include "registry/store.hpp"
 
--- a/src/cli/zone_command.cpp
+++ b/src/cli/zone_command.cpp
@@ -1,4 +1,4 @@
-#include "zone_command.hpp"
+#include "cli/zone_command.hpp"
 
 #include <algorithm>
 #include <cstdio>
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "http_call.hpp"
+#include "cli/http_call.hpp"
 
 namespace violetwing::cli {
 namespace {
--- a/src/common/http_client.cpp
+++ b/src/common/http_client.cpp
@@ -1,4 +1,4 @@
-#include "http_client.hpp"
+#include "common/http_client.hpp"
 
 #include <charconv>
 #include <cstdint>
--- a/src/common/log.cpp
+++ b/src/common/log.cpp
@@ -1,4 +1,4 @@
-#include "log.hpp"
+#include "common/log.hpp"
 
 #include <spdlog/sinks/basic_file_sink.h>
 #include <spdlog/sinks/null_sink.h>
--- a/src/node/settings.cpp
+++ b/src/common/node_settings.cpp
@@ -1,4 +1,4 @@
-#include "settings.hpp"
+#include "common/node_settings.hpp"
 
 #include <fstream>
 #include <iterator>
--- a/src/node/settings.hpp
+++ b/src/common/node_settings.hpp
@@ -1,7 +1,7 @@
 // The settings file of a process, as the platform writes it. What makes no sense is told in one line; unknown
 // fields are passed over.
-#ifndef VIOLETWING_NODE_SETTINGS_HPP_
-#define VIOLETWING_NODE_SETTINGS_HPP_
+#ifndef VIOLETWING_COMMON_NODE_SETTINGS_HPP_
+#define VIOLETWING_COMMON_NODE_SETTINGS_HPP_
 
 #include <cstdint>
 #include <optional>
@@ -42,4 +42,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_NODE_SETTINGS_HPP_
+#endif  // VIOLETWING_COMMON_NODE_SETTINGS_HPP_
--- a/src/control/api/handlers.cpp
+++ b/src/control/api/handlers.cpp
@@ -1,4 +1,4 @@
-#include "handlers.hpp"
+#include "control/api/handlers.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/control/api/handlers.hpp
+++ b/src/control/api/handlers.hpp
@@ -4,7 +4,7 @@
 #define VIOLETWING_CONTROL_API_HANDLERS_HPP_
 
 #include "control/api/messages.hpp"
-#include "control/core.hpp"
+#include "control/control_core.hpp"
 
 namespace violetwing {
 
--- a/src/control/api/http.cpp
+++ b/src/control/api/http.cpp
@@ -1,4 +1,4 @@
-#include "http.hpp"
+#include "control/api/http.hpp"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
--- a/src/control/configuration/taken_changes.cpp
+++ b/src/control/configuration/accepted_changes.cpp
@@ -1,4 +1,4 @@
-#include "taken_changes.hpp"
+#include "control/configuration/accepted_changes.hpp"
 
 #include <xxhash.h>
 
--- a/src/control/configuration/taken_changes.hpp
+++ b/src/control/configuration/accepted_changes.hpp
@@ -1,8 +1,8 @@
 // The changes of the configuration that were taken, by digest, so that one that is sent again is acknowledged
 // again. Bounded: only the latest are kept, since every snapshot carries them. Of a change that builds upon a
 // version below the horizon it cannot be told whether it was taken.
-#ifndef VIOLETWING_CONTROL_CONFIGURATION_TAKEN_CHANGES_HPP_
-#define VIOLETWING_CONTROL_CONFIGURATION_TAKEN_CHANGES_HPP_
+#ifndef VIOLETWING_CONTROL_CONFIGURATION_ACCEPTED_CHANGES_HPP_
+#define VIOLETWING_CONTROL_CONFIGURATION_ACCEPTED_CHANGES_HPP_
 
 #include <boost/multi_index/hashed_index.hpp>
 #include <boost/multi_index/member.hpp>
@@ -13,7 +13,7 @@
 #include <map>
 #include <string>
 
-#include "change.hpp"
+#include "control/configuration/change.hpp"
 
 namespace violetwing::configuration {
 
@@ -59,4 +59,4 @@
 
 }  // namespace violetwing::configuration
 
-#endif  // VIOLETWING_CONTROL_CONFIGURATION_TAKEN_CHANGES_HPP_
+#endif  // VIOLETWING_CONTROL_CONFIGURATION_ACCEPTED_CHANGES_HPP_
--- a/src/control/configuration/reader.cpp
+++ b/src/control/configuration/reader.cpp
@@ -1,4 +1,4 @@
-#include "reader.hpp"
+#include "control/configuration/reader.hpp"
 
 #include <google/protobuf/util/json_util.h>
 
--- a/src/control/configuration/recent_patches.cpp
+++ b/src/control/configuration/recent_patches.cpp
@@ -1,4 +1,4 @@
-#include "recent_patches.hpp"
+#include "control/configuration/recent_patches.hpp"
 
 #include <algorithm>
 #include <iterator>
--- a/src/control/configuration/state.cpp
+++ b/src/control/configuration/state.cpp
@@ -1,4 +1,4 @@
-#include "state.hpp"
+#include "control/configuration/state.hpp"
 
 #include <algorithm>
 #include <map>
--- a/src/control/configuration/state.hpp
+++ b/src/control/configuration/state.hpp
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "change.hpp"
-#include "reader.hpp"
-#include "recent_patches.hpp"
-#include "taken_changes.hpp"
+#include "control/configuration/accepted_changes.hpp"
+#include "control/configuration/change.hpp"
+#include "control/configuration/reader.hpp"
+#include "control/configuration/recent_patches.hpp"
 
 namespace violetwing::configuration {
 
--- a/src/control/consensus/election.cpp
+++ b/src/control/consensus/election.cpp
@@ -11,7 +11,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "core.hpp"
+#include "control/consensus/replica.hpp"
 
 namespace violetwing::consensus {
 
--- a/src/control/consensus/fingerprint.cpp
+++ b/src/control/consensus/fingerprint.cpp
@@ -1,7 +1,7 @@
 // What decides a replica's next steps, as text: two replicas with the same text behave alike, times aside.
 #include <string>
 
-#include "core.hpp"
+#include "control/consensus/replica.hpp"
 
 namespace violetwing::consensus {
 namespace {
--- a/src/control/consensus/member_policy.cpp
+++ b/src/control/consensus/membership.cpp
@@ -1,4 +1,4 @@
-#include "member_policy.hpp"
+#include "control/consensus/membership.hpp"
 
 #include <algorithm>
 
--- a/src/control/consensus/member_policy.hpp
+++ b/src/control/consensus/membership.hpp
@@ -1,10 +1,10 @@
 // Which replicas a shard's group should have: decided by its leader, one change at a time.
-#ifndef VIOLETWING_CONTROL_CONSENSUS_MEMBER_POLICY_HPP_
-#define VIOLETWING_CONTROL_CONSENSUS_MEMBER_POLICY_HPP_
+#ifndef VIOLETWING_CONTROL_CONSENSUS_MEMBERSHIP_HPP_
+#define VIOLETWING_CONTROL_CONSENSUS_MEMBERSHIP_HPP_
 
 #include <optional>
 
-#include "core.hpp"
+#include "control/consensus/replica.hpp"
 
 namespace violetwing::consensus {
 
@@ -23,4 +23,4 @@
 
 }  // namespace violetwing::consensus
 
-#endif  // VIOLETWING_CONTROL_CONSENSUS_MEMBER_POLICY_HPP_
+#endif  // VIOLETWING_CONTROL_CONSENSUS_MEMBERSHIP_HPP_
--- a/src/control/consensus/core.cpp
+++ b/src/control/consensus/replica.cpp
@@ -1,4 +1,4 @@
-#include "core.hpp"
+#include "control/consensus/replica.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/control/consensus/core.hpp
+++ b/src/control/consensus/replica.hpp
@@ -5,8 +5,8 @@
 // promised.
 //
 // A core: it holds no clock, socket, file or thread. Time comes in with each event, randomness by its seed.
-#ifndef VIOLETWING_CONTROL_CONSENSUS_CORE_HPP_
-#define VIOLETWING_CONTROL_CONSENSUS_CORE_HPP_
+#ifndef VIOLETWING_CONTROL_CONSENSUS_REPLICA_HPP_
+#define VIOLETWING_CONTROL_CONSENSUS_REPLICA_HPP_
 
 #include <algorithm>
 #include <cstdint>
@@ -340,4 +340,4 @@
 
 }  // namespace violetwing::consensus
 
-#endif  // VIOLETWING_CONTROL_CONSENSUS_CORE_HPP_
+#endif  // VIOLETWING_CONTROL_CONSENSUS_REPLICA_HPP_
--- a/src/control/consensus/replication.cpp
+++ b/src/control/consensus/replication.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "core.hpp"
+#include "control/consensus/replica.hpp"
 
 namespace violetwing::consensus {
 namespace {
--- a/src/control/core.cpp
+++ b/src/control/control_core.cpp
@@ -1,4 +1,4 @@
-#include "core.hpp"
+#include "control/control_core.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/control/core.hpp
+++ b/src/control/control_core.hpp
@@ -2,8 +2,8 @@
 // exchanges with the other control processes, answers the sidecars' pulls and places models. A core: it holds
 // no clock, socket, file or thread; what has to go out leaves through `Outputs`, and what comes of it returns
 // by a call.
-#ifndef VIOLETWING_CONTROL_CORE_HPP_
-#define VIOLETWING_CONTROL_CORE_HPP_
+#ifndef VIOLETWING_CONTROL_CONTROL_CORE_HPP_
+#define VIOLETWING_CONTROL_CONTROL_CORE_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -14,13 +14,13 @@
 #include <string>
 #include <vector>
 
-#include "control/instances/table.hpp"
-#include "control/peers.hpp"
+#include "common/node_settings.hpp"
+#include "control/gossip/gossip.hpp"
+#include "control/gossip/sidecar_registry.hpp"
+#include "control/instances/instance_table.hpp"
 #include "control/placement/placer_role.hpp"
-#include "control/shards.hpp"
-#include "control/sidecars.hpp"
+#include "control/replication/shards.hpp"
 #include "messages/peer.hpp"
-#include "node/settings.hpp"
 
 namespace violetwing {
 
@@ -142,4 +142,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_CORE_HPP_
+#endif  // VIOLETWING_CONTROL_CONTROL_CORE_HPP_
--- a/src/control/service.cpp
+++ b/src/control/control_service.cpp
@@ -1,4 +1,4 @@
-#include "service.hpp"
+#include "control/control_service.hpp"
 
 #include <fcntl.h>
 #include <spdlog/spdlog.h>
--- a/src/control/service.hpp
+++ b/src/control/control_service.hpp
@@ -1,7 +1,7 @@
 // A control process: carries the calls of servers, the operator, the sidecars and the other control processes
 // to the core, and what the core decides to the network and the disk. One loop; the disk has a thread.
-#ifndef VIOLETWING_CONTROL_SERVICE_HPP_
-#define VIOLETWING_CONTROL_SERVICE_HPP_
+#ifndef VIOLETWING_CONTROL_CONTROL_SERVICE_HPP_
+#define VIOLETWING_CONTROL_CONTROL_SERVICE_HPP_
 
 #include <event2/event.h>
 
@@ -9,10 +9,10 @@
 #include <string>
 #include <system_error>
 
+#include "common/node_settings.hpp"
 #include "control/api/http.hpp"
-#include "control/core.hpp"
-#include "control/store/store.hpp"
-#include "node/settings.hpp"
+#include "control/control_core.hpp"
+#include "control/storage/store.hpp"
 
 namespace violetwing {
 
@@ -61,4 +61,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_SERVICE_HPP_
+#endif  // VIOLETWING_CONTROL_CONTROL_SERVICE_HPP_
--- a/src/control/peers.cpp
+++ b/src/control/gossip/gossip.cpp
@@ -1,4 +1,4 @@
-#include "peers.hpp"
+#include "control/gossip/gossip.hpp"
 
 #include <utility>
 
--- a/src/control/peers.hpp
+++ b/src/control/gossip/gossip.hpp
@@ -1,8 +1,8 @@
 // The other control processes: who they are, and the exchange with each, one call at a time. What is to be
 // said to one waits until its last call has ended; what a call did not bring over is lost, and those who sent
 // it repeat it. A core: it holds no clock, socket, file or thread.
-#ifndef VIOLETWING_CONTROL_PEERS_HPP_
-#define VIOLETWING_CONTROL_PEERS_HPP_
+#ifndef VIOLETWING_CONTROL_GOSSIP_GOSSIP_HPP_
+#define VIOLETWING_CONTROL_GOSSIP_GOSSIP_HPP_
 
 #include <functional>
 #include <map>
@@ -78,4 +78,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_PEERS_HPP_
+#endif  // VIOLETWING_CONTROL_GOSSIP_GOSSIP_HPP_
--- a/src/control/sidecars.cpp
+++ b/src/control/gossip/sidecar_registry.cpp
@@ -1,4 +1,4 @@
-#include "sidecars.hpp"
+#include "control/gossip/sidecar_registry.hpp"
 
 #include <algorithm>
 
--- a/src/control/sidecars.hpp
+++ b/src/control/gossip/sidecar_registry.hpp
@@ -1,8 +1,8 @@
 // The sidecars that the control processes have heard lately, and the number that each has among them. All
 // control processes that have heard the same give the same numbers. A core: it holds no clock, socket, file
 // or thread.
-#ifndef VIOLETWING_CONTROL_SIDECARS_HPP_
-#define VIOLETWING_CONTROL_SIDECARS_HPP_
+#ifndef VIOLETWING_CONTROL_GOSSIP_SIDECAR_REGISTRY_HPP_
+#define VIOLETWING_CONTROL_GOSSIP_SIDECAR_REGISTRY_HPP_
 
 #include <cstdint>
 #include <map>
@@ -45,4 +45,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_SIDECARS_HPP_
+#endif  // VIOLETWING_CONTROL_GOSSIP_SIDECAR_REGISTRY_HPP_
--- a/src/control/instances/departures.cpp
+++ b/src/control/instances/departures.cpp
@@ -1,4 +1,4 @@
-#include "departures.hpp"
+#include "control/instances/departures.hpp"
 
 #include <algorithm>
 
--- a/src/control/instances/table.cpp
+++ b/src/control/instances/instance_table.cpp
@@ -1,4 +1,4 @@
-#include "table.hpp"
+#include "control/instances/instance_table.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/control/instances/table.hpp
+++ b/src/control/instances/instance_table.hpp
@@ -4,8 +4,8 @@
 // Each change of a record bears the process that made it and a number that this process counts up. What a
 // reader misses follows from its version vector (the last number that it knows of each process). A core: it
 // holds no clock, socket, file or thread.
-#ifndef VIOLETWING_CONTROL_INSTANCES_TABLE_HPP_
-#define VIOLETWING_CONTROL_INSTANCES_TABLE_HPP_
+#ifndef VIOLETWING_CONTROL_INSTANCES_INSTANCE_TABLE_HPP_
+#define VIOLETWING_CONTROL_INSTANCES_INSTANCE_TABLE_HPP_
 
 #include <boost/multi_index/hashed_index.hpp>
 #include <boost/multi_index/member.hpp>
@@ -87,4 +87,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_INSTANCES_TABLE_HPP_
+#endif  // VIOLETWING_CONTROL_INSTANCES_INSTANCE_TABLE_HPP_
--- a/src/control/placement/demand.cpp
+++ b/src/control/placement/demand.cpp
@@ -1,4 +1,4 @@
-#include "demand.hpp"
+#include "control/placement/demand.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/control/placement/order_book.cpp
+++ b/src/control/placement/placement_state.cpp
@@ -1,4 +1,4 @@
-#include "order_book.hpp"
+#include "control/placement/placement_state.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/control/placement/order_book.hpp
+++ b/src/control/placement/placement_state.hpp
@@ -2,8 +2,8 @@
 // out. That is known from a server's report at the start of a term and from the orders since. Each order
 // names the number of orders that led to that knowledge; the server refuses it if there were others, and is
 // asked again. A core: it holds no clock, socket, file or thread.
-#ifndef VIOLETWING_CONTROL_PLACEMENT_ORDER_BOOK_HPP_
-#define VIOLETWING_CONTROL_PLACEMENT_ORDER_BOOK_HPP_
+#ifndef VIOLETWING_CONTROL_PLACEMENT_PLACEMENT_STATE_HPP_
+#define VIOLETWING_CONTROL_PLACEMENT_PLACEMENT_STATE_HPP_
 
 #include <cstdint>
 #include <map>
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "control/configuration/reader.hpp"
-#include "control/instances/table.hpp"
+#include "control/instances/instance_table.hpp"
 #include "messages/instances.hpp"
 
 namespace violetwing {
@@ -116,4 +116,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_PLACEMENT_ORDER_BOOK_HPP_
+#endif  // VIOLETWING_CONTROL_PLACEMENT_PLACEMENT_STATE_HPP_
--- a/src/control/placement/placer.cpp
+++ b/src/control/placement/placer.cpp
@@ -1,4 +1,4 @@
-#include "placer.hpp"
+#include "control/placement/placer.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/control/placement/placer.hpp
+++ b/src/control/placement/placer.hpp
@@ -14,9 +14,9 @@
 #include <vector>
 
 #include "control/configuration/reader.hpp"
-#include "control/instances/table.hpp"
+#include "control/instances/instance_table.hpp"
 #include "control/placement/demand.hpp"
-#include "control/placement/order_book.hpp"
+#include "control/placement/placement_state.hpp"
 #include "control/placement/service_view.hpp"
 #include "messages/instances.hpp"
 
--- a/src/control/placement/placer_role.cpp
+++ b/src/control/placement/placer_role.cpp
@@ -1,4 +1,4 @@
-#include "placer_role.hpp"
+#include "control/placement/placer_role.hpp"
 
 #include <utility>
 
--- a/src/control/placement/placer_role.hpp
+++ b/src/control/placement/placer_role.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "control/configuration/state.hpp"
-#include "control/consensus/core.hpp"
+#include "control/consensus/replica.hpp"
 #include "control/placement/placer.hpp"
 
 namespace violetwing {
--- a/src/control/placement/service_view.cpp
+++ b/src/control/placement/service_view.cpp
@@ -1,4 +1,4 @@
-#include "service_view.hpp"
+#include "control/placement/service_view.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/control/placement/service_view.hpp
+++ b/src/control/placement/service_view.hpp
@@ -13,7 +13,7 @@
 
 #include "control/configuration/reader.hpp"
 #include "control/placement/demand.hpp"
-#include "control/placement/order_book.hpp"
+#include "control/placement/placement_state.hpp"
 
 namespace violetwing {
 
--- a/src/control/commands.cpp
+++ b/src/control/replication/commands.cpp
@@ -1,4 +1,4 @@
-#include "commands.hpp"
+#include "control/replication/commands.hpp"
 
 #include <nlohmann/json.hpp>
 #include <utility>
--- a/src/control/commands.hpp
+++ b/src/control/replication/commands.hpp
@@ -1,8 +1,8 @@
 // What the logs of the shards hold: the envelope that names the call that a command answers, and the commands
 // of the shards' state machines. Written as protocol buffers (messages/internal.proto). Logs of earlier
 // versions held JSON, which is still read: an object's brace begins no envelope.
-#ifndef VIOLETWING_CONTROL_COMMANDS_HPP_
-#define VIOLETWING_CONTROL_COMMANDS_HPP_
+#ifndef VIOLETWING_CONTROL_REPLICATION_COMMANDS_HPP_
+#define VIOLETWING_CONTROL_REPLICATION_COMMANDS_HPP_
 
 #include <optional>
 #include <string>
@@ -37,4 +37,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_COMMANDS_HPP_
+#endif  // VIOLETWING_CONTROL_REPLICATION_COMMANDS_HPP_
--- a/src/control/group.cpp
+++ b/src/control/replication/replicated_state_machine.cpp
@@ -1,11 +1,11 @@
-#include "group.hpp"
+#include "control/replication/replicated_state_machine.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <utility>
 
-#include "control/commands.hpp"
+#include "control/replication/commands.hpp"
 
 namespace violetwing {
 namespace {
--- a/src/control/group.hpp
+++ b/src/control/replication/replicated_state_machine.hpp
@@ -1,7 +1,7 @@
 // One shard in a control process: its replica, the state machine that the log drives, and the callers that
 // wait for their commands to be applied here.
-#ifndef VIOLETWING_CONTROL_GROUP_HPP_
-#define VIOLETWING_CONTROL_GROUP_HPP_
+#ifndef VIOLETWING_CONTROL_REPLICATION_REPLICATED_STATE_MACHINE_HPP_
+#define VIOLETWING_CONTROL_REPLICATION_REPLICATED_STATE_MACHINE_HPP_
 
 #include <functional>
 #include <map>
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "control/consensus/core.hpp"
-#include "control/store/store.hpp"
+#include "control/consensus/replica.hpp"
+#include "control/storage/store.hpp"
 
 namespace violetwing {
 
@@ -116,4 +116,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_GROUP_HPP_
+#endif  // VIOLETWING_CONTROL_REPLICATION_REPLICATED_STATE_MACHINE_HPP_
--- a/src/control/shards.cpp
+++ b/src/control/replication/shards.cpp
@@ -1,4 +1,4 @@
-#include "shards.hpp"
+#include "control/replication/shards.hpp"
 
 #include <spdlog/spdlog.h>
 #include <xxhash.h>
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "control/commands.hpp"
+#include "control/replication/commands.hpp"
 
 namespace violetwing {
 namespace {
--- a/src/control/shards.hpp
+++ b/src/control/replication/shards.hpp
@@ -1,8 +1,8 @@
 // The shards of a control process: their replicas, and the state that their logs drive. The first holds the
 // configuration; the others hold the servers that have left, by a hash of the service's name. A core: it
 // holds no clock, socket, file or thread.
-#ifndef VIOLETWING_CONTROL_SHARDS_HPP_
-#define VIOLETWING_CONTROL_SHARDS_HPP_
+#ifndef VIOLETWING_CONTROL_REPLICATION_SHARDS_HPP_
+#define VIOLETWING_CONTROL_REPLICATION_SHARDS_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -13,9 +13,9 @@
 #include <vector>
 
 #include "control/configuration/state.hpp"
-#include "control/consensus/member_policy.hpp"
-#include "control/group.hpp"
+#include "control/consensus/membership.hpp"
 #include "control/instances/departures.hpp"
+#include "control/replication/replicated_state_machine.hpp"
 #include "messages/peer.hpp"
 
 namespace violetwing {
@@ -97,4 +97,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_SHARDS_HPP_
+#endif  // VIOLETWING_CONTROL_REPLICATION_SHARDS_HPP_
--- a/src/control/store/json_form.cpp
+++ b/src/control/storage/json_form.cpp
@@ -1,4 +1,4 @@
-#include "json_form.hpp"
+#include "control/storage/json_form.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/control/store/json_form.hpp
+++ b/src/control/storage/json_form.hpp
@@ -1,11 +1,11 @@
 // Entries and snapshots as version 1 of the store kept them, in JSON: read, and no longer written.
-#ifndef VIOLETWING_CONTROL_STORE_JSON_FORM_HPP_
-#define VIOLETWING_CONTROL_STORE_JSON_FORM_HPP_
+#ifndef VIOLETWING_CONTROL_STORAGE_JSON_FORM_HPP_
+#define VIOLETWING_CONTROL_STORAGE_JSON_FORM_HPP_
 
 #include <optional>
 #include <string>
 
-#include "control/consensus/core.hpp"
+#include "control/consensus/replica.hpp"
 
 namespace violetwing {
 
@@ -17,4 +17,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_STORE_JSON_FORM_HPP_
+#endif  // VIOLETWING_CONTROL_STORAGE_JSON_FORM_HPP_
--- a/src/control/store/store.cpp
+++ b/src/control/storage/store.cpp
@@ -1,9 +1,9 @@
-#include "store.hpp"
+#include "control/storage/store.hpp"
 
 #include <chrono>
 #include <utility>
 
-#include "json_form.hpp"
+#include "control/storage/json_form.hpp"
 #include "messages/consensus.hpp"
 
 namespace violetwing {
--- a/src/control/store/store.hpp
+++ b/src/control/storage/store.hpp
@@ -2,8 +2,8 @@
 // in one SQLite file. All writing is done on a thread of its own, as a sync may hang for seconds; writes that
 // wait are committed together. A write that fails (a full or a failing disk) is tried again until it
 // succeeds: it is then late, never lost, and nothing that depends on it has been said.
-#ifndef VIOLETWING_CONTROL_STORE_STORE_HPP_
-#define VIOLETWING_CONTROL_STORE_STORE_HPP_
+#ifndef VIOLETWING_CONTROL_STORAGE_STORE_HPP_
+#define VIOLETWING_CONTROL_STORAGE_STORE_HPP_
 
 #include <sqlite3.h>
 
@@ -18,7 +18,7 @@
 #include <thread>
 #include <vector>
 
-#include "control/consensus/core.hpp"
+#include "control/consensus/replica.hpp"
 
 namespace violetwing {
 
@@ -80,4 +80,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_STORE_STORE_HPP_
+#endif  // VIOLETWING_CONTROL_STORAGE_STORE_HPP_
--- a/src/dataplane/control_channel.cpp
+++ b/src/dataplane/control_client/control_channel.cpp
@@ -1,4 +1,4 @@
-#include "control_channel.hpp"
+#include "dataplane/control_client/control_channel.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/dataplane/control_channel.hpp
+++ b/src/dataplane/control_client/control_channel.hpp
@@ -1,7 +1,7 @@
 // Calls of a sidecar to one control process at a time, over a connection that is kept from call to call: a
 // new one for each would cost both sides more than the call itself.
-#ifndef VIOLETWING_DATAPLANE_CONTROL_CHANNEL_HPP_
-#define VIOLETWING_DATAPLANE_CONTROL_CHANNEL_HPP_
+#ifndef VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_CHANNEL_HPP_
+#define VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_CHANNEL_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -71,4 +71,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_CONTROL_CHANNEL_HPP_
+#endif  // VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_CHANNEL_HPP_
--- a/src/dataplane/control_link.cpp
+++ b/src/dataplane/control_client/control_link.cpp
@@ -1,4 +1,4 @@
-#include "control_link.hpp"
+#include "dataplane/control_client/control_link.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/dataplane/control_link.hpp
+++ b/src/dataplane/control_client/control_link.hpp
@@ -1,8 +1,8 @@
 // A sidecar's link to the control plane: pulls what it misses from one control process at a time, and goes on
 // to the next when that one is silent or out of touch. Sockets and timers only: what is known is in
 // system_view.hpp, who is asked in control_choice.hpp.
-#ifndef VIOLETWING_DATAPLANE_CONTROL_LINK_HPP_
-#define VIOLETWING_DATAPLANE_CONTROL_LINK_HPP_
+#ifndef VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_LINK_HPP_
+#define VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_LINK_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -12,12 +12,12 @@
 #include <string>
 #include <vector>
 
-#include "dataplane/control_channel.hpp"
-#include "dataplane/control_choice.hpp"
-#include "dataplane/directory.hpp"
-#include "dataplane/system_view.hpp"
+#include "common/node_settings.hpp"
+#include "dataplane/control_client/control_channel.hpp"
+#include "dataplane/control_client/control_process_selector.hpp"
+#include "dataplane/control_client/system_view.hpp"
+#include "dataplane/routing/directory.hpp"
 #include "messages/peer.hpp"
-#include "node/settings.hpp"
 
 namespace violetwing {
 
@@ -61,4 +61,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_CONTROL_LINK_HPP_
+#endif  // VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_LINK_HPP_
--- a/src/dataplane/control_choice.cpp
+++ b/src/dataplane/control_client/control_process_selector.cpp
@@ -1,4 +1,4 @@
-#include "control_choice.hpp"
+#include "dataplane/control_client/control_process_selector.hpp"
 
 #include <algorithm>
 
--- a/src/dataplane/control_choice.hpp
+++ b/src/dataplane/control_client/control_process_selector.hpp
@@ -3,8 +3,8 @@
 // own, by a hash of both names, so that all have their part of the sidecars. It comes back to its own zone
 // some time after a failure there, as bytes between zones are dear. A core: it holds no clock, socket, file
 // or thread.
-#ifndef VIOLETWING_DATAPLANE_CONTROL_CHOICE_HPP_
-#define VIOLETWING_DATAPLANE_CONTROL_CHOICE_HPP_
+#ifndef VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_PROCESS_SELECTOR_HPP_
+#define VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_PROCESS_SELECTOR_HPP_
 
 #include <cstdint>
 #include <string>
@@ -50,4 +50,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_CONTROL_CHOICE_HPP_
+#endif  // VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_PROCESS_SELECTOR_HPP_
--- a/src/dataplane/system_view.cpp
+++ b/src/dataplane/control_client/system_view.cpp
@@ -1,4 +1,4 @@
-#include "system_view.hpp"
+#include "dataplane/control_client/system_view.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/dataplane/system_view.hpp
+++ b/src/dataplane/control_client/system_view.hpp
@@ -1,8 +1,8 @@
 // What a sidecar knows of the system by the answers of the control processes: the configuration, the servers,
 // the control processes themselves, and its own number among the sidecars. Knowledge only grows: an answer
 // that knows less than an earlier one takes nothing back. A core: it holds no clock, socket, file or thread.
-#ifndef VIOLETWING_DATAPLANE_SYSTEM_VIEW_HPP_
-#define VIOLETWING_DATAPLANE_SYSTEM_VIEW_HPP_
+#ifndef VIOLETWING_DATAPLANE_CONTROL_CLIENT_SYSTEM_VIEW_HPP_
+#define VIOLETWING_DATAPLANE_CONTROL_CLIENT_SYSTEM_VIEW_HPP_
 
 #include <map>
 #include <memory>
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "dataplane/directory.hpp"
+#include "dataplane/routing/directory.hpp"
 #include "messages/peer.hpp"
 
 namespace violetwing {
@@ -57,4 +57,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_SYSTEM_VIEW_HPP_
+#endif  // VIOLETWING_DATAPLANE_CONTROL_CLIENT_SYSTEM_VIEW_HPP_
--- a/src/dataplane/edge.cpp
+++ b/src/dataplane/edge_service.cpp
@@ -1,4 +1,4 @@
-#include "edge.hpp"
+#include "dataplane/edge_service.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/dataplane/edge.hpp
+++ b/src/dataplane/edge_service.hpp
@@ -1,6 +1,6 @@
 // A sidecar that takes clients' requests: its listeners, its link to the control plane, and its end.
-#ifndef VIOLETWING_DATAPLANE_EDGE_HPP_
-#define VIOLETWING_DATAPLANE_EDGE_HPP_
+#ifndef VIOLETWING_DATAPLANE_EDGE_SERVICE_HPP_
+#define VIOLETWING_DATAPLANE_EDGE_SERVICE_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -8,10 +8,10 @@
 #include <string>
 #include <system_error>
 
-#include "dataplane/forwarder.hpp"
-#include "dataplane/ingress.hpp"
-#include "dataplane/load_gossip.hpp"
-#include "node/settings.hpp"
+#include "common/node_settings.hpp"
+#include "dataplane/ingress/ingress.hpp"
+#include "dataplane/load_balancing/load_report_exchange.hpp"
+#include "dataplane/routing/request_router.hpp"
 
 namespace violetwing {
 
@@ -47,4 +47,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_EDGE_HPP_
+#endif  // VIOLETWING_DATAPLANE_EDGE_SERVICE_HPP_
--- a/src/dataplane/http_text.cpp
+++ b/src/dataplane/http/http_text.cpp
@@ -1,4 +1,4 @@
-#include "http_text.hpp"
+#include "dataplane/http/http_text.hpp"
 
 #include <algorithm>
 #include <boost/beast/core/string.hpp>
--- a/src/dataplane/http_text.hpp
+++ b/src/dataplane/http/http_text.hpp
@@ -1,7 +1,7 @@
 // Heads of HTTP messages as the data plane passes them on: fields in their order, without those that concern
 // one connection only.
-#ifndef VIOLETWING_DATAPLANE_HTTP_TEXT_HPP_
-#define VIOLETWING_DATAPLANE_HTTP_TEXT_HPP_
+#ifndef VIOLETWING_DATAPLANE_HTTP_HTTP_TEXT_HPP_
+#define VIOLETWING_DATAPLANE_HTTP_HTTP_TEXT_HPP_
 
 #include <boost/beast/http/fields.hpp>
 #include <string>
@@ -44,4 +44,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_HTTP_TEXT_HPP_
+#endif  // VIOLETWING_DATAPLANE_HTTP_HTTP_TEXT_HPP_
--- a/src/dataplane/ingress.cpp
+++ b/src/dataplane/ingress/ingress.cpp
@@ -1,4 +1,4 @@
-#include "ingress.hpp"
+#include "dataplane/ingress/ingress.hpp"
 
 #include <boost/asio/write.hpp>
 #include <cstdio>
--- a/src/dataplane/ingress.hpp
+++ b/src/dataplane/ingress/ingress.hpp
@@ -1,6 +1,6 @@
 // Connections of clients: requests are read whole, one after the other, and answers written as they come.
-#ifndef VIOLETWING_DATAPLANE_INGRESS_HPP_
-#define VIOLETWING_DATAPLANE_INGRESS_HPP_
+#ifndef VIOLETWING_DATAPLANE_INGRESS_INGRESS_HPP_
+#define VIOLETWING_DATAPLANE_INGRESS_INGRESS_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -17,7 +17,7 @@
 #include <system_error>
 
 #include "control/configuration/reader.hpp"
-#include "dataplane/http_text.hpp"
+#include "dataplane/http/http_text.hpp"
 
 namespace violetwing {
 
@@ -128,4 +128,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_INGRESS_HPP_
+#endif  // VIOLETWING_DATAPLANE_INGRESS_INGRESS_HPP_
--- a/src/dataplane/chooser.cpp
+++ b/src/dataplane/load_balancing/load_balancer.cpp
@@ -1,4 +1,4 @@
-#include "chooser.hpp"
+#include "dataplane/load_balancing/load_balancer.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/dataplane/chooser.hpp
+++ b/src/dataplane/load_balancing/load_balancer.hpp
@@ -5,8 +5,8 @@
 // read this one, after those that this sidecar and others have sent there. A server that holds the first
 // parts of the prompt counts as less busy by what that saves; one of another zone, or to which no connection
 // is kept, as busier by what these cost. A core: it holds no clock, socket, file or thread.
-#ifndef VIOLETWING_DATAPLANE_CHOOSER_HPP_
-#define VIOLETWING_DATAPLANE_CHOOSER_HPP_
+#ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_LOAD_BALANCER_HPP_
+#define VIOLETWING_DATAPLANE_LOAD_BALANCING_LOAD_BALANCER_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -15,9 +15,9 @@
 #include <vector>
 
 #include "common/random.hpp"
-#include "dataplane/directory.hpp"
-#include "dataplane/prefix_cache.hpp"
-#include "dataplane/read_backlog.hpp"
+#include "dataplane/load_balancing/prefill_queue.hpp"
+#include "dataplane/load_balancing/prefix_cache.hpp"
+#include "dataplane/routing/directory.hpp"
 #include "messages/load.hpp"
 
 namespace violetwing {
@@ -143,4 +143,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_CHOOSER_HPP_
+#endif  // VIOLETWING_DATAPLANE_LOAD_BALANCING_LOAD_BALANCER_HPP_
--- a/src/dataplane/load_gossip.cpp
+++ b/src/dataplane/load_balancing/load_report_exchange.cpp
@@ -1,4 +1,4 @@
-#include "load_gossip.hpp"
+#include "dataplane/load_balancing/load_report_exchange.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/dataplane/load_gossip.hpp
+++ b/src/dataplane/load_balancing/load_report_exchange.hpp
@@ -2,8 +2,8 @@
 // without it each sees only its own requests, and several send long prompts to the same idle server at once.
 // One datagram a report, unacknowledged. Sockets and timers only: what is told and what it means is in
 // chooser.hpp and read_backlog.hpp.
-#ifndef VIOLETWING_DATAPLANE_LOAD_GOSSIP_HPP_
-#define VIOLETWING_DATAPLANE_LOAD_GOSSIP_HPP_
+#ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_LOAD_REPORT_EXCHANGE_HPP_
+#define VIOLETWING_DATAPLANE_LOAD_BALANCING_LOAD_REPORT_EXCHANGE_HPP_
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -13,7 +13,7 @@
 #include <system_error>
 #include <vector>
 
-#include "dataplane/chooser.hpp"
+#include "dataplane/load_balancing/load_balancer.hpp"
 
 namespace violetwing {
 
@@ -49,4 +49,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_LOAD_GOSSIP_HPP_
+#endif  // VIOLETWING_DATAPLANE_LOAD_BALANCING_LOAD_REPORT_EXCHANGE_HPP_
--- a/src/dataplane/read_backlog.cpp
+++ b/src/dataplane/load_balancing/prefill_queue.cpp
@@ -1,4 +1,4 @@
-#include "read_backlog.hpp"
+#include "dataplane/load_balancing/prefill_queue.hpp"
 
 #include <algorithm>
 
--- a/src/dataplane/read_backlog.hpp
+++ b/src/dataplane/load_balancing/prefill_queue.hpp
@@ -2,8 +2,8 @@
 // that others tell of. A server reads them one after the other, so that what was sent there goes down by a
 // millisecond in each, and the first byte of an answer shows that its prompt and all before it have been
 // read. A core: it holds no clock, socket, file or thread.
-#ifndef VIOLETWING_DATAPLANE_READ_BACKLOG_HPP_
-#define VIOLETWING_DATAPLANE_READ_BACKLOG_HPP_
+#ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFILL_QUEUE_HPP_
+#define VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFILL_QUEUE_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -40,4 +40,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_READ_BACKLOG_HPP_
+#endif  // VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFILL_QUEUE_HPP_
--- a/src/dataplane/prefix_cache.cpp
+++ b/src/dataplane/load_balancing/prefix_cache.cpp
@@ -1,4 +1,4 @@
-#include "prefix_cache.hpp"
+#include "dataplane/load_balancing/prefix_cache.hpp"
 
 #include <charconv>
 
--- a/src/dataplane/prefix_cache.hpp
+++ b/src/dataplane/load_balancing/prefix_cache.hpp
@@ -1,7 +1,7 @@
 // A guess at what a server keeps of prompts: the parts that this sidecar has sent there lately, per model and
 // adapter, within the server's memory. A part counts only if all before it are kept as well.
-#ifndef VIOLETWING_DATAPLANE_PREFIX_CACHE_HPP_
-#define VIOLETWING_DATAPLANE_PREFIX_CACHE_HPP_
+#ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFIX_CACHE_HPP_
+#define VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFIX_CACHE_HPP_
 
 #include <cstdint>
 #include <list>
@@ -41,4 +41,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_PREFIX_CACHE_HPP_
+#endif  // VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFIX_CACHE_HPP_
--- a/src/dataplane/directory.cpp
+++ b/src/dataplane/routing/directory.cpp
@@ -1,4 +1,4 @@
-#include "directory.hpp"
+#include "dataplane/routing/directory.hpp"
 
 #include <algorithm>
 
--- a/src/dataplane/directory.hpp
+++ b/src/dataplane/routing/directory.hpp
@@ -1,7 +1,7 @@
 // What a sidecar knows of the system at one time: the configuration, the servers and its own number.
 // Immutable: a change makes a new one, which is swapped in whole.
-#ifndef VIOLETWING_DATAPLANE_DIRECTORY_HPP_
-#define VIOLETWING_DATAPLANE_DIRECTORY_HPP_
+#ifndef VIOLETWING_DATAPLANE_ROUTING_DIRECTORY_HPP_
+#define VIOLETWING_DATAPLANE_ROUTING_DIRECTORY_HPP_
 
 #include <map>
 #include <memory>
@@ -68,4 +68,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_DIRECTORY_HPP_
+#endif  // VIOLETWING_DATAPLANE_ROUTING_DIRECTORY_HPP_
--- a/src/dataplane/forwarder.cpp
+++ b/src/dataplane/routing/request_router.cpp
@@ -1,4 +1,4 @@
-#include "forwarder.hpp"
+#include "dataplane/routing/request_router.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/dataplane/forwarder.hpp
+++ b/src/dataplane/routing/request_router.hpp
@@ -1,6 +1,6 @@
 // One request's way through the sidecar: its route, its server, further attempts, its answer.
-#ifndef VIOLETWING_DATAPLANE_FORWARDER_HPP_
-#define VIOLETWING_DATAPLANE_FORWARDER_HPP_
+#ifndef VIOLETWING_DATAPLANE_ROUTING_REQUEST_ROUTER_HPP_
+#define VIOLETWING_DATAPLANE_ROUTING_REQUEST_ROUTER_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -10,12 +10,12 @@
 #include <vector>
 
 #include "common/random.hpp"
-#include "dataplane/chooser.hpp"
-#include "dataplane/control_link.hpp"
-#include "dataplane/directory.hpp"
-#include "dataplane/ingress.hpp"
-#include "dataplane/retry.hpp"
-#include "dataplane/upstream.hpp"
+#include "dataplane/control_client/control_link.hpp"
+#include "dataplane/ingress/ingress.hpp"
+#include "dataplane/load_balancing/load_balancer.hpp"
+#include "dataplane/routing/directory.hpp"
+#include "dataplane/routing/retry_budget.hpp"
+#include "dataplane/upstream/upstream.hpp"
 
 namespace violetwing {
 
@@ -108,4 +108,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_FORWARDER_HPP_
+#endif  // VIOLETWING_DATAPLANE_ROUTING_REQUEST_ROUTER_HPP_
--- a/src/dataplane/retry.cpp
+++ b/src/dataplane/routing/retry_budget.cpp
@@ -1,4 +1,4 @@
-#include "retry.hpp"
+#include "dataplane/routing/retry_budget.hpp"
 
 #include <algorithm>
 
--- a/src/dataplane/retry.hpp
+++ b/src/dataplane/routing/retry_budget.hpp
@@ -1,7 +1,7 @@
 // Whether, and after what wait, a request that a server has turned away is sent again, and what its client is
 // told. A core: it holds no clock, socket, file or thread.
-#ifndef VIOLETWING_DATAPLANE_RETRY_HPP_
-#define VIOLETWING_DATAPLANE_RETRY_HPP_
+#ifndef VIOLETWING_DATAPLANE_ROUTING_RETRY_BUDGET_HPP_
+#define VIOLETWING_DATAPLANE_ROUTING_RETRY_BUDGET_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -48,4 +48,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_RETRY_HPP_
+#endif  // VIOLETWING_DATAPLANE_ROUTING_RETRY_BUDGET_HPP_
--- a/src/dataplane/upstream.cpp
+++ b/src/dataplane/upstream/upstream.cpp
@@ -1,4 +1,4 @@
-#include "upstream.hpp"
+#include "dataplane/upstream/upstream.hpp"
 
 #include <netinet/tcp.h>
 
--- a/src/dataplane/upstream.hpp
+++ b/src/dataplane/upstream/upstream.hpp
@@ -1,6 +1,6 @@
 // Connections to servers and the exchange of one request and its answer on one of them.
-#ifndef VIOLETWING_DATAPLANE_UPSTREAM_HPP_
-#define VIOLETWING_DATAPLANE_UPSTREAM_HPP_
+#ifndef VIOLETWING_DATAPLANE_UPSTREAM_UPSTREAM_HPP_
+#define VIOLETWING_DATAPLANE_UPSTREAM_UPSTREAM_HPP_
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -17,7 +17,7 @@
 #include <optional>
 #include <string>
 
-#include "dataplane/http_text.hpp"
+#include "dataplane/http/http_text.hpp"
 
 namespace violetwing {
 
@@ -125,4 +125,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_UPSTREAM_HPP_
+#endif  // VIOLETWING_DATAPLANE_UPSTREAM_UPSTREAM_HPP_
--- a/src/lab/clients/shell.cpp
+++ b/src/lab/clients/shell.cpp
@@ -1,4 +1,4 @@
-#include "shell.hpp"
+#include "lab/clients/shell.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/lab/clients/shell.hpp
+++ b/src/lab/clients/shell.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "../world.hpp"
+#include "lab/world.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/discovery/core.cpp
+++ b/src/lab/discovery/core.cpp
@@ -1,4 +1,4 @@
-#include "core.hpp"
+#include "lab/discovery/core.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/discovery/core.hpp
+++ b/src/lab/discovery/core.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "../records.hpp"
+#include "lab/records.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/discovery/shell.cpp
+++ b/src/lab/discovery/shell.cpp
@@ -1,4 +1,4 @@
-#include "shell.hpp"
+#include "lab/discovery/shell.hpp"
 
 #include <charconv>
 #include <cstdio>
--- a/src/lab/discovery/shell.hpp
+++ b/src/lab/discovery/shell.hpp
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "../door.hpp"
-#include "core.hpp"
+#include "lab/discovery/core.hpp"
+#include "lab/door.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/door.cpp
+++ b/src/lab/door.cpp
@@ -1,4 +1,4 @@
-#include "door.hpp"
+#include "lab/door.hpp"
 
 #include <sys/socket.h>
 
--- a/src/lab/door.hpp
+++ b/src/lab/door.hpp
@@ -7,7 +7,7 @@
 #include <memory>
 #include <vector>
 
-#include "shell.hpp"
+#include "lab/shell.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/html.cpp
+++ b/src/lab/html.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <vector>
 
-#include "report.hpp"
+#include "lab/report.hpp"
 
 namespace violetwing::lab {
 namespace {
--- a/src/lab/journal.hpp
+++ b/src/lab/journal.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "common/log.hpp"
-#include "shell.hpp"
+#include "lab/shell.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/judge/core.cpp
+++ b/src/lab/judge/core.cpp
@@ -1,4 +1,4 @@
-#include "core.hpp"
+#include "lab/judge/core.hpp"
 
 #include <algorithm>
 #include <boost/histogram.hpp>
@@ -6,7 +6,7 @@
 #include <limits>
 #include <numeric>
 
-#include "rules.hpp"
+#include "lab/judge/rules.hpp"
 
 namespace violetwing::lab {
 namespace {
--- a/src/lab/judge/core.hpp
+++ b/src/lab/judge/core.hpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "../plan.hpp"
-#include "../records.hpp"
+#include "lab/plan.hpp"
+#include "lab/records.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/judge/rules.cpp
+++ b/src/lab/judge/rules.cpp
@@ -1,4 +1,4 @@
-#include "rules.hpp"
+#include "lab/judge/rules.hpp"
 
 #include <algorithm>
 #include <deque>
--- a/src/lab/judge/rules.hpp
+++ b/src/lab/judge/rules.hpp
@@ -2,8 +2,8 @@
 #ifndef VIOLETWING_LAB_JUDGE_RULES_HPP_
 #define VIOLETWING_LAB_JUDGE_RULES_HPP_
 
-#include "core.hpp"
-#include "told.hpp"
+#include "lab/judge/core.hpp"
+#include "lab/judge/told.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/judge/told.cpp
+++ b/src/lab/judge/told.cpp
@@ -1,4 +1,4 @@
-#include "told.hpp"
+#include "lab/judge/told.hpp"
 
 #include <algorithm>
 
--- a/src/lab/judge/told.hpp
+++ b/src/lab/judge/told.hpp
@@ -10,8 +10,8 @@
 #include <utility>
 #include <vector>
 
-#include "../plan.hpp"
-#include "../records.hpp"
+#include "lab/plan.hpp"
+#include "lab/records.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/link/datagram.cpp
+++ b/src/lab/link/datagram.cpp
@@ -1,4 +1,4 @@
-#include "datagram.hpp"
+#include "lab/link/datagram.hpp"
 
 #include <utility>
 
--- a/src/lab/link/datagram.hpp
+++ b/src/lab/link/datagram.hpp
@@ -8,8 +8,8 @@
 #include <memory>
 #include <string>
 
-#include "../shell.hpp"
-#include "core.hpp"
+#include "lab/link/core.hpp"
+#include "lab/shell.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/link/stream.cpp
+++ b/src/lab/link/stream.cpp
@@ -1,4 +1,4 @@
-#include "stream.hpp"
+#include "lab/link/stream.hpp"
 
 #include <array>
 #include <deque>
--- a/src/lab/link/stream.hpp
+++ b/src/lab/link/stream.hpp
@@ -10,8 +10,8 @@
 #include <unordered_map>
 #include <utility>
 
-#include "../door.hpp"
-#include "core.hpp"
+#include "lab/door.hpp"
+#include "lab/link/core.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/links.cpp
+++ b/src/lab/links.cpp
@@ -1,4 +1,4 @@
-#include "links.hpp"
+#include "lab/links.hpp"
 
 #include <algorithm>
 #include <string>
--- a/src/lab/links.hpp
+++ b/src/lab/links.hpp
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "link/stream.hpp"
-#include "plan.hpp"
+#include "lab/link/stream.hpp"
+#include "lab/plan.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/merged_log.cpp
+++ b/src/lab/merged_log.cpp
@@ -1,4 +1,4 @@
-#include "merged_log.hpp"
+#include "lab/merged_log.hpp"
 
 #include <algorithm>
 #include <fstream>
--- a/src/lab/merged_log.hpp
+++ b/src/lab/merged_log.hpp
@@ -5,8 +5,8 @@
 
 #include <string>
 
-#include "journal.hpp"
-#include "plan.hpp"
+#include "lab/journal.hpp"
+#include "lab/plan.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/plan.cpp
+++ b/src/lab/plan.cpp
@@ -1,4 +1,4 @@
-#include "plan.hpp"
+#include "lab/plan.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/lab/plan.hpp
+++ b/src/lab/plan.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "scenario.hpp"
+#include "lab/scenario.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/process/shell.cpp
+++ b/src/lab/process/shell.cpp
@@ -1,4 +1,4 @@
-#include "shell.hpp"
+#include "lab/process/shell.hpp"
 
 #include <dirent.h>
 #include <fcntl.h>
--- a/src/lab/process/shell.hpp
+++ b/src/lab/process/shell.hpp
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "../shell.hpp"
+#include "lab/shell.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/registries.cpp
+++ b/src/lab/registries.cpp
@@ -1,4 +1,4 @@
-#include "registries.hpp"
+#include "lab/registries.hpp"
 
 #include <algorithm>
 #include <csignal>
--- a/src/lab/registries.hpp
+++ b/src/lab/registries.hpp
@@ -10,13 +10,13 @@
 #include <string>
 #include <vector>
 
-#include "door.hpp"
-#include "journal.hpp"
-#include "links.hpp"
-#include "process/shell.hpp"
+#include "lab/door.hpp"
+#include "lab/journal.hpp"
+#include "lab/links.hpp"
+#include "lab/process/shell.hpp"
+#include "lab/servers.hpp"
+#include "lab/world.hpp"
 #include "registry/agent/shell.hpp"
-#include "servers.hpp"
-#include "world.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -1,4 +1,4 @@
-#include "report.hpp"
+#include "lab/report.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/lab/report.hpp
+++ b/src/lab/report.hpp
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "judge/core.hpp"
+#include "lab/judge/core.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -1,4 +1,4 @@
-#include "run.hpp"
+#include "lab/run.hpp"
 
 #include <sys/resource.h>
 
@@ -9,13 +9,13 @@
 #include <unordered_set>
 #include <vector>
 
-#include "clients/shell.hpp"
-#include "links.hpp"
-#include "merged_log.hpp"
-#include "registries.hpp"
-#include "servers.hpp"
-#include "sidecars.hpp"
-#include "timeline.hpp"
+#include "lab/clients/shell.hpp"
+#include "lab/links.hpp"
+#include "lab/merged_log.hpp"
+#include "lab/registries.hpp"
+#include "lab/servers.hpp"
+#include "lab/sidecars.hpp"
+#include "lab/timeline.hpp"
 
 namespace violetwing::lab {
 namespace {
--- a/src/lab/run.hpp
+++ b/src/lab/run.hpp
@@ -6,8 +6,8 @@
 #include <functional>
 #include <string>
 
-#include "plan.hpp"
-#include "records.hpp"
+#include "lab/plan.hpp"
+#include "lab/records.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -1,4 +1,4 @@
-#include "scenario.hpp"
+#include "lab/scenario.hpp"
 
 #include <toml++/toml.h>
 
--- a/src/lab/scenario.hpp
+++ b/src/lab/scenario.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "server/core.hpp"
+#include "lab/server/core.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/server/core.cpp
+++ b/src/lab/server/core.cpp
@@ -1,4 +1,4 @@
-#include "core.hpp"
+#include "lab/server/core.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/lab/server/shell.cpp
+++ b/src/lab/server/shell.cpp
@@ -1,4 +1,4 @@
-#include "shell.hpp"
+#include "lab/server/shell.hpp"
 
 #include <array>
 #include <charconv>
--- a/src/lab/server/shell.hpp
+++ b/src/lab/server/shell.hpp
@@ -9,10 +9,10 @@
 #include <set>
 #include <string>
 
-#include "../door.hpp"
-#include "../link/stream.hpp"
-#include "../world.hpp"
-#include "core.hpp"
+#include "lab/door.hpp"
+#include "lab/link/stream.hpp"
+#include "lab/server/core.hpp"
+#include "lab/world.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/servers.cpp
+++ b/src/lab/servers.cpp
@@ -1,4 +1,4 @@
-#include "servers.hpp"
+#include "lab/servers.hpp"
 
 #include <algorithm>
 #include <chrono>
--- a/src/lab/servers.hpp
+++ b/src/lab/servers.hpp
@@ -6,9 +6,9 @@
 #include <memory>
 #include <vector>
 
-#include "discovery/shell.hpp"
-#include "journal.hpp"
-#include "server/shell.hpp"
+#include "lab/discovery/shell.hpp"
+#include "lab/journal.hpp"
+#include "lab/server/shell.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/shell.hpp
+++ b/src/lab/shell.hpp
@@ -11,7 +11,7 @@
 #include <boost/beast/http.hpp>
 #include <chrono>
 
-#include "records.hpp"
+#include "lab/records.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/sidecars.cpp
+++ b/src/lab/sidecars.cpp
@@ -1,4 +1,4 @@
-#include "sidecars.hpp"
+#include "lab/sidecars.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/lab/sidecars.hpp
+++ b/src/lab/sidecars.hpp
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-#include "door.hpp"
-#include "journal.hpp"
-#include "process/shell.hpp"
-#include "world.hpp"
+#include "lab/door.hpp"
+#include "lab/journal.hpp"
+#include "lab/process/shell.hpp"
+#include "lab/world.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/timeline.cpp
+++ b/src/lab/timeline.cpp
@@ -1,4 +1,4 @@
-#include "timeline.hpp"
+#include "lab/timeline.hpp"
 
 #include <memory>
 #include <utility>
--- a/src/lab/timeline.hpp
+++ b/src/lab/timeline.hpp
@@ -5,7 +5,7 @@
 
 #include <functional>
 
-#include "journal.hpp"
+#include "lab/journal.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/timeliness.cpp
+++ b/src/lab/timeliness.cpp
@@ -1,4 +1,4 @@
-#include "timeliness.hpp"
+#include "lab/timeliness.hpp"
 
 #include <chrono>
 #include <thread>
--- a/src/lab/timeliness.hpp
+++ b/src/lab/timeliness.hpp
@@ -5,7 +5,7 @@
 
 #include <functional>
 
-#include "scenario.hpp"
+#include "lab/scenario.hpp"
 
 namespace violetwing::lab {
 
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -3,8 +3,8 @@
 #ifndef VIOLETWING_LAB_WORLD_HPP_
 #define VIOLETWING_LAB_WORLD_HPP_
 
-#include "plan.hpp"
-#include "shell.hpp"
+#include "lab/plan.hpp"
+#include "lab/shell.hpp"
 
 namespace violetwing::lab {
 
--- a/src/messages/consensus.cpp
+++ b/src/messages/consensus.cpp
@@ -1,4 +1,4 @@
-#include "consensus.hpp"
+#include "messages/consensus.hpp"
 
 #include <algorithm>
 
--- a/src/messages/consensus.hpp
+++ b/src/messages/consensus.hpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "control/consensus/core.hpp"
+#include "control/consensus/replica.hpp"
 
 namespace violetwing::wire {
 class ConsensusMessage;
--- a/src/messages/peer.cpp
+++ b/src/messages/peer.cpp
@@ -1,4 +1,4 @@
-#include "peer.hpp"
+#include "messages/peer.hpp"
 
 #include "generated/internal.pb.h"
 #include "messages/consensus.hpp"
--- a/src/messages/peer.hpp
+++ b/src/messages/peer.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "control/consensus/core.hpp"
+#include "control/consensus/replica.hpp"
 #include "messages/instances.hpp"
 
 namespace violetwing {
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -15,9 +15,9 @@
 #include <optional>
 #include <string>
 
-#include "control/service.hpp"
-#include "dataplane/edge.hpp"
-#include "node/settings.hpp"
+#include "common/node_settings.hpp"
+#include "control/control_service.hpp"
+#include "dataplane/edge_service.hpp"
 
 namespace {
 
--- a/src/registry/agent/core.cpp
+++ b/src/registry/agent/core.cpp
@@ -1,4 +1,4 @@
-#include "core.hpp"
+#include "registry/agent/core.hpp"
 
 #include <algorithm>
 
--- a/src/registry/agent/core.hpp
+++ b/src/registry/agent/core.hpp
@@ -5,8 +5,8 @@
 
 #include <optional>
 
-#include "../core.hpp"
 #include "common/random.hpp"
+#include "registry/core.hpp"
 
 namespace violetwing::registry {
 
--- a/src/registry/agent/shell.cpp
+++ b/src/registry/agent/shell.cpp
@@ -1,10 +1,10 @@
-#include "shell.hpp"
+#include "registry/agent/shell.hpp"
 
 #include <algorithm>
 #include <chrono>
 #include <utility>
 
-#include "../json.hpp"
+#include "registry/json.hpp"
 
 namespace violetwing::registry {
 namespace {
--- a/src/registry/agent/shell.hpp
+++ b/src/registry/agent/shell.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "common/http_client.hpp"
-#include "core.hpp"
+#include "registry/agent/core.hpp"
 
 namespace violetwing::registry {
 
--- a/src/registry/core.cpp
+++ b/src/registry/core.cpp
@@ -1,4 +1,4 @@
-#include "core.hpp"
+#include "registry/core.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/registry/figures.cpp
+++ b/src/registry/figures.cpp
@@ -1,4 +1,4 @@
-#include "figures.hpp"
+#include "registry/figures.hpp"
 
 #include <prometheus/text_serializer.h>
 
--- a/src/registry/json.cpp
+++ b/src/registry/json.cpp
@@ -1,4 +1,4 @@
-#include "json.hpp"
+#include "registry/json.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/registry/json.hpp
+++ b/src/registry/json.hpp
@@ -7,7 +7,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "core.hpp"
+#include "registry/core.hpp"
 
 namespace violetwing::registry {
 
--- a/src/registry/peers.cpp
+++ b/src/registry/peers.cpp
@@ -1,10 +1,10 @@
-#include "peers.hpp"
+#include "registry/peers.hpp"
 
 #include <algorithm>
 #include <chrono>
 #include <utility>
 
-#include "json.hpp"
+#include "registry/json.hpp"
 
 namespace violetwing::registry {
 namespace {
--- a/src/registry/peers.hpp
+++ b/src/registry/peers.hpp
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "common/http_client.hpp"
-#include "role/core.hpp"
+#include "registry/role/core.hpp"
 
 namespace violetwing::registry {
 
--- a/src/registry/role/core.cpp
+++ b/src/registry/role/core.cpp
@@ -1,4 +1,4 @@
-#include "core.hpp"
+#include "registry/role/core.hpp"
 
 #include <algorithm>
 #include <tuple>
--- a/src/registry/role/core.hpp
+++ b/src/registry/role/core.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "../core.hpp"
+#include "registry/core.hpp"
 
 namespace violetwing::registry {
 
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -1,4 +1,4 @@
-#include "service.hpp"
+#include "registry/service.hpp"
 
 #include <toml++/toml.h>
 
@@ -14,7 +14,7 @@
 #include <optional>
 #include <utility>
 
-#include "json.hpp"
+#include "registry/json.hpp"
 
 namespace violetwing::registry {
 namespace {
--- a/src/registry/service.hpp
+++ b/src/registry/service.hpp
@@ -16,11 +16,11 @@
 #include <vector>
 
 #include "common/log.hpp"
-#include "core.hpp"
-#include "figures.hpp"
-#include "peers.hpp"
-#include "role/core.hpp"
-#include "store.hpp"
+#include "registry/core.hpp"
+#include "registry/figures.hpp"
+#include "registry/peers.hpp"
+#include "registry/role/core.hpp"
+#include "registry/store.hpp"
 
 namespace violetwing::registry {
 
--- a/src/registry/store.cpp
+++ b/src/registry/store.cpp
@@ -1,4 +1,4 @@
-#include "store.hpp"
+#include "registry/store.hpp"
 
 #include <sqlite3.h>
 
@@ -7,7 +7,7 @@
 #include <optional>
 #include <utility>
 
-#include "json.hpp"
+#include "registry/json.hpp"
 
 namespace violetwing::registry {
 namespace {
--- a/src/registry/store.hpp
+++ b/src/registry/store.hpp
@@ -8,7 +8,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "core.hpp"
+#include "registry/core.hpp"
 
 struct sqlite3;
 
--- a/src/net/admin.cpp
+++ b/src/sidecar/admin.cpp
@@ -1,4 +1,4 @@
-#include "admin.hpp"
+#include "sidecar/admin.hpp"
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -10,7 +10,7 @@
 #include <string>
 #include <utility>
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 namespace {
 
 // How long a caller may take to send its call and to read the answer.
@@ -211,4 +211,4 @@
   return Plain(http::status::not_found, "no such call\n");
 }
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
--- a/src/net/admin.hpp
+++ b/src/sidecar/admin.hpp
@@ -1,6 +1,6 @@
 // The second address, for operators alone: one call to a connection, answered on the sidecar's own loop.
-#ifndef MERLINRUN_NET_ADMIN_HPP_
-#define MERLINRUN_NET_ADMIN_HPP_
+#ifndef VIOLETWING_SIDECAR_ADMIN_HPP_
+#define VIOLETWING_SIDECAR_ADMIN_HPP_
 
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
@@ -8,10 +8,10 @@
 #include <memory>
 #include <string>
 
-#include "merlinrun/balancer.hpp"
-#include "protocol.hpp"
+#include "sidecar/balancer_types.hpp"
+#include "sidecar/protocol.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 class Admin {
  public:
@@ -56,6 +56,6 @@
   std::list<CallerPtr> callers_;  // the oldest first
 };
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
 
-#endif  // MERLINRUN_NET_ADMIN_HPP_
+#endif  // VIOLETWING_SIDECAR_ADMIN_HPP_
--- /dev/null
+++ b/src/sidecar/balancer_types.hpp
@@ -0,0 +1,25 @@
+// The types of the decision module that the sidecar uses under their short names.
+#ifndef VIOLETWING_SIDECAR_BALANCER_TYPES_HPP_
+#define VIOLETWING_SIDECAR_BALANCER_TYPES_HPP_
+
+#include <violetwing_balancer/balancer.hpp>
+
+namespace violetwing::sidecar {
+
+using balancer::ActionSink;
+using balancer::Balancer;
+using balancer::ListUpdate;
+using balancer::Membership;
+using balancer::Micros;
+using balancer::Outcome;
+using balancer::Repeat;
+using balancer::RequestClass;
+using balancer::Result;
+using balancer::ServerInfo;
+using balancer::Settings;
+using balancer::Tenant;
+using balancer::ZoneOrder;
+
+}  // namespace violetwing::sidecar
+
+#endif  // VIOLETWING_SIDECAR_BALANCER_TYPES_HPP_
--- a/src/net/bans.cpp
+++ b/src/sidecar/bans.cpp
@@ -1,6 +1,6 @@
-#include "bans.hpp"
+#include "sidecar/bans.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 bool Bans::Read(std::set<std::string>& servers) {
   std::map<std::string, std::string> found;
@@ -10,4 +10,4 @@
   return true;
 }
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
--- a/src/net/bans.hpp
+++ b/src/sidecar/bans.hpp
@@ -1,15 +1,15 @@
 // Servers that operators have taken out, kept in a directory that the processes of an upgrade share: one
 // empty file for each, named after the server.
-#ifndef MERLINRUN_NET_BANS_HPP_
-#define MERLINRUN_NET_BANS_HPP_
+#ifndef VIOLETWING_SIDECAR_BANS_HPP_
+#define VIOLETWING_SIDECAR_BANS_HPP_
 
 #include <set>
 #include <string>
 #include <utility>
 
-#include "kept_files.hpp"
+#include "sidecar/kept_files.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 class Bans {
  public:
@@ -27,6 +27,6 @@
   KeptFiles files_;
 };
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
 
-#endif  // MERLINRUN_NET_BANS_HPP_
+#endif  // VIOLETWING_SIDECAR_BANS_HPP_
--- a/src/net/body.cpp
+++ b/src/sidecar/body.cpp
@@ -1,4 +1,4 @@
-#include "body.hpp"
+#include "sidecar/body.hpp"
 
 #include <boost/asio/post.hpp>
 #include <boost/asio/write.hpp>
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <utility>
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 namespace {
 
 // How long a peer may take to read one piece: slow ones take seconds.
@@ -145,4 +145,4 @@
   done(error);
 }
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
--- a/src/net/body.hpp
+++ b/src/sidecar/body.hpp
@@ -1,7 +1,7 @@
 // Bodies on their way: from the connection that reads one to the connection that writes it, held whole while
 // they are short and in bounded pieces once they are not.
-#ifndef MERLINRUN_NET_BODY_HPP_
-#define MERLINRUN_NET_BODY_HPP_
+#ifndef VIOLETWING_SIDECAR_BODY_HPP_
+#define VIOLETWING_SIDECAR_BODY_HPP_
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -15,9 +15,9 @@
 #include <string>
 #include <string_view>
 
-#include "protocol.hpp"
+#include "sidecar/protocol.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 // What all bodies of the process may hold together. Each may hold one piece even when it is spent.
 class Budget {
@@ -137,6 +137,6 @@
   bool writing_ = false;
 };
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
 
-#endif  // MERLINRUN_NET_BODY_HPP_
+#endif  // VIOLETWING_SIDECAR_BODY_HPP_
--- a/src/net/by_hand.cpp
+++ b/src/sidecar/by_hand.cpp
@@ -1,11 +1,11 @@
-#include "by_hand.hpp"
+#include "sidecar/by_hand.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <chrono>
 #include <set>
 #include <utility>
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 namespace {
 
 // How often a process looks for what another one was told: what that one has said yes to binds after the
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-ByHand::ByHand(asio::io_context& io, const std::string& directory, const drill::WireSettings& names,
+ByHand::ByHand(asio::io_context& io, const std::string& directory, const bench_adapter::WireSettings& names,
                Balancer& balancer, Upstream& upstream, std::function<Micros()> now)
     : names_(names),
       balancer_(balancer),
@@ -48,7 +48,7 @@
 }
 
 Admin::Verdict ByHand::OrderZone(const std::string& zone, bool drains, Micros over) {
-  const int number = drill::IndexOf(names_.zones, zone);
+  const int number = bench_adapter::IndexOf(names_.zones, zone);
   if (number < 0) return Admin::Verdict::kNeverListed;
   if (drains && !balancer_.AnyElsewhere(number)) return Admin::Verdict::kLast;
   const Micros now = now_();
@@ -76,14 +76,14 @@
   if (!zones_.Read(kept)) return false;
   const Micros now = now_();
   for (const auto& [zone, order] : kept) {
-    const int number = drill::IndexOf(names_.zones, zone);
+    const int number = bench_adapter::IndexOf(names_.zones, zone);
     if (number < 0) continue;  // of other settings
     const auto it = applied_.find(zone);
     if (it == applied_.end() || it->second != order) balancer_.OrderZone(now, number, order);
     if (!order.drains && balancer_.ZoneOpen(now, number) >= 1) zones_.Remove(zone);  // it has returned
   }
   for (const auto& [zone, order] : applied_)
-    if (kept.count(zone) == 0) balancer_.ForgetZone(drill::IndexOf(names_.zones, zone));
+    if (kept.count(zone) == 0) balancer_.ForgetZone(bench_adapter::IndexOf(names_.zones, zone));
   applied_ = std::move(kept);
   return true;
 }
@@ -91,11 +91,11 @@
 std::string ByHand::Figures() const {
   std::string out;
   for (const auto& [zone, order] : applied_) {
-    const int number = drill::IndexOf(names_.zones, zone);
+    const int number = bench_adapter::IndexOf(names_.zones, zone);
     const double open = number < 0 ? 1 : balancer_.ZoneOpen(now_(), number);
     if (open < 1) out += "sidecar.zone." + zone + ".open=" + std::to_string(open) + "\n";
   }
   return out;
 }
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
--- a/src/net/by_hand.hpp
+++ b/src/sidecar/by_hand.hpp
@@ -1,26 +1,26 @@
 // What operators say of servers and zones: kept in files, carried to the module, and followed when the other
 // process of an upgrade was told.
-#ifndef MERLINRUN_NET_BY_HAND_HPP_
-#define MERLINRUN_NET_BY_HAND_HPP_
+#ifndef VIOLETWING_SIDECAR_BY_HAND_HPP_
+#define VIOLETWING_SIDECAR_BY_HAND_HPP_
 
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
 #include <map>
 #include <string>
 
-#include "admin.hpp"
-#include "bans.hpp"
-#include "merlinrun/balancer.hpp"
-#include "upstream.hpp"
-#include "wire.hpp"
-#include "zone_orders.hpp"
+#include "bench_adapter/wire.hpp"
+#include "sidecar/admin.hpp"
+#include "sidecar/balancer_types.hpp"
+#include "sidecar/bans.hpp"
+#include "sidecar/upstream.hpp"
+#include "sidecar/zone_orders.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 class ByHand {
  public:
   // All that it is given outlives it. `now` is Unix time in microseconds, the module's clock.
-  ByHand(asio::io_context& io, const std::string& directory, const drill::WireSettings& names,
+  ByHand(asio::io_context& io, const std::string& directory, const bench_adapter::WireSettings& names,
          Balancer& balancer, Upstream& upstream, std::function<Micros()> now);
 
   // Takes up what is kept, now and again and again.
@@ -37,7 +37,7 @@
   bool ApplyBans();
   bool ApplyZones();
 
-  const drill::WireSettings& names_;
+  const bench_adapter::WireSettings& names_;
   Balancer& balancer_;
   Upstream& upstream_;
   const std::function<Micros()> now_;
@@ -47,6 +47,6 @@
   asio::steady_timer timer_;
 };
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
 
-#endif  // MERLINRUN_NET_BY_HAND_HPP_
+#endif  // VIOLETWING_SIDECAR_BY_HAND_HPP_
--- a/src/net/config.cpp
+++ b/src/sidecar/config.cpp
@@ -1,4 +1,4 @@
-#include "config.hpp"
+#include "sidecar/config.hpp"
 
 #include <sys/socket.h>
 
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 namespace {
 
 using Json = nlohmann::json;
@@ -87,7 +87,7 @@
   return seed;
 }
 
-EndpointList Known(const Json& json, const drill::WireSettings& names) {
+EndpointList Known(const Json& json, const bench_adapter::WireSettings& names) {
   if (!json.contains("known") || json.at("known").is_null()) return {};
   std::string error;
   const auto list = ParseList(json.at("known"), names, error);
@@ -130,7 +130,7 @@
   }
   if (config.sockets < 64) throw ConfigError("limits.sockets: under 64, too few to work with");
   if (config.memory_mb < 16) throw ConfigError("limits.memory_mb: under 16, too little to work with");
-  config.wire = drill::ParseSettings(Flatten(json.at("settings")));
+  config.wire = bench_adapter::ParseSettings(Flatten(json.at("settings")));
   // Clients use a third of the descriptors at most, with one request on a connection.
   const auto connections = static_cast<std::int64_t>(config.sockets / 3);
   std::int64_t& most_open = config.wire.settings.most_open;
@@ -166,7 +166,7 @@
     return FromJson(Json::parse(text), environment);
   } catch (const Json::exception& error) {
     throw ConfigError(OneLine(error.what()));
-  } catch (const drill::WireError& error) {
+  } catch (const bench_adapter::WireError& error) {
     throw ConfigError(OneLine(std::string("settings: ") + error.what()));
   }
 }
@@ -188,4 +188,4 @@
   });
 }
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
--- a/src/net/config.hpp
+++ b/src/sidecar/config.hpp
@@ -1,6 +1,6 @@
 // What the sidecar is told at its start: the environment and the JSON configuration.
-#ifndef MERLINRUN_NET_CONFIG_HPP_
-#define MERLINRUN_NET_CONFIG_HPP_
+#ifndef VIOLETWING_SIDECAR_CONFIG_HPP_
+#define VIOLETWING_SIDECAR_CONFIG_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
-#include "discovery.hpp"
-#include "protocol.hpp"
-#include "wire.hpp"
+#include "bench_adapter/wire.hpp"
+#include "sidecar/discovery.hpp"
+#include "sidecar/protocol.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 class ConfigError : public std::runtime_error {
  public:
@@ -32,7 +32,7 @@
   std::uint64_t seed = 0;
   std::size_t sockets = 1024;  // descriptors that the process may hold
   std::size_t memory_mb = 192;
-  drill::WireSettings wire;
+  bench_adapter::WireSettings wire;
   EndpointList known;      // the list as this sidecar last had it
   std::string known_text;  // the same as it stands in the configuration; empty where no copy is kept
 };
@@ -55,6 +55,6 @@
 // The same once it runs: the address of discovery is the file's, as the environment keeps that of the start.
 Config ReloadConfig(const Environment& environment);
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
 
-#endif  // MERLINRUN_NET_CONFIG_HPP_
+#endif  // VIOLETWING_SIDECAR_CONFIG_HPP_
--- a/src/net/discovery.cpp
+++ b/src/sidecar/discovery.cpp
@@ -1,4 +1,4 @@
-#include "discovery.hpp"
+#include "sidecar/discovery.hpp"
 
 #include <algorithm>
 #include <array>
@@ -12,7 +12,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 namespace {
 
 constexpr std::size_t kMostLine = std::size_t{4} * 1024 * 1024;  // some 20,000 servers
@@ -30,7 +30,8 @@
   return std::nullopt;
 }
 
-Endpoint ParseEntry(const nlohmann::json& json, const drill::WireSettings& names, std::string& error) {
+Endpoint ParseEntry(const nlohmann::json& json, const bench_adapter::WireSettings& names,
+                    std::string& error) {
   Endpoint out;
   out.info.id = json.at("instanceId").get<std::string>();
   if (out.info.id.empty()) error = "an empty instanceId";
@@ -40,8 +41,8 @@
   const auto address = ParseAddress(json.value("hostPort", std::string()));
   if (!address && out.info.state != ServerInfo::State::kGone) error = "a hostPort that is no address";
   out.address = address.value_or(Tcp::endpoint());
-  out.info.zone = drill::IndexOf(names.zones, json.value("zone", std::string()));
-  out.info.machine = drill::IndexOf(names.machines, json.value("machineType", std::string()));
+  out.info.zone = bench_adapter::IndexOf(names.zones, json.value("zone", std::string()));
+  out.info.machine = bench_adapter::IndexOf(names.machines, json.value("machineType", std::string()));
   out.info.cell = json.value("cell", std::int64_t{-1});
   out.info.weight = json.value("weight", 1.0);
   const auto started = json.value("startedAtMs", std::int64_t{0});
@@ -87,7 +88,7 @@
   return Tcp::endpoint(host, port);
 }
 
-std::optional<EndpointList> ParseList(const nlohmann::json& json, const drill::WireSettings& names,
+std::optional<EndpointList> ParseList(const nlohmann::json& json, const bench_adapter::WireSettings& names,
                                       std::string& error) {
   error.clear();
   try {
@@ -266,7 +267,8 @@
 };
 
 Discovery::Discovery(asio::io_context& io, std::vector<Tcp::endpoint> addresses,
-                     const drill::WireSettings& names, Timing timing, std::uint64_t seed, Events events)
+                     const bench_adapter::WireSettings& names, Timing timing, std::uint64_t seed,
+                     Events events)
     : io_(io),
       addresses_(std::move(addresses)),
       names_(names),
@@ -368,4 +370,4 @@
   });
 }
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
--- a/src/net/discovery.hpp
+++ b/src/sidecar/discovery.hpp
@@ -1,7 +1,7 @@
 // Follows the list of servers: one watch, reopened with jittered backoff when it ends, falls silent or says
 // something that cannot be understood. Where there are further addresses, the next one is tried each time.
-#ifndef MERLINRUN_NET_DISCOVERY_HPP_
-#define MERLINRUN_NET_DISCOVERY_HPP_
+#ifndef VIOLETWING_SIDECAR_DISCOVERY_HPP_
+#define VIOLETWING_SIDECAR_DISCOVERY_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -12,11 +12,11 @@
 #include <string>
 #include <vector>
 
-#include "merlinrun/balancer.hpp"
-#include "protocol.hpp"
-#include "wire.hpp"
+#include "bench_adapter/wire.hpp"
+#include "sidecar/balancer_types.hpp"
+#include "sidecar/protocol.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 // A server as discovery lists it. `info.started` is Unix time here; the module's clock runs along with it.
 struct Endpoint {
@@ -32,7 +32,7 @@
 };
 
 // Reads a list; empty, with the reason in `error`, if any part of it makes no sense.
-std::optional<EndpointList> ParseList(const nlohmann::json& json, const drill::WireSettings& names,
+std::optional<EndpointList> ParseList(const nlohmann::json& json, const bench_adapter::WireSettings& names,
                                       std::string& error);
 
 // "127.0.0.1:80"; empty if it is anything else.
@@ -61,8 +61,8 @@
   };
 
   // Asks the first of `addresses` as long as it answers; there is at least one.
-  Discovery(asio::io_context& io, std::vector<Tcp::endpoint> addresses, const drill::WireSettings& names,
-            Timing timing, std::uint64_t seed, Events events);
+  Discovery(asio::io_context& io, std::vector<Tcp::endpoint> addresses,
+            const bench_adapter::WireSettings& names, Timing timing, std::uint64_t seed, Events events);
   ~Discovery();
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
@@ -90,7 +90,7 @@
   std::vector<Tcp::endpoint> addresses_;
   std::size_t at_ = 0;
   std::size_t tried_ = 0;  // addresses left since a fresh list came
-  const drill::WireSettings& names_;
+  const bench_adapter::WireSettings& names_;
   const Timing timing_;
   const Events events_;
   std::mt19937_64 random_;
@@ -101,6 +101,6 @@
   bool complained_ = false;
 };
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
 
-#endif  // MERLINRUN_NET_DISCOVERY_HPP_
+#endif  // VIOLETWING_SIDECAR_DISCOVERY_HPP_
--- a/src/net/drain.cpp
+++ b/src/sidecar/drain.cpp
@@ -1,9 +1,9 @@
-#include "drain.hpp"
+#include "sidecar/drain.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 namespace {
 
 // Connections still come for up to 0.4 s after SIGTERM, and the kill comes so long after the longest
@@ -95,4 +95,4 @@
   });
 }
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
--- a/src/net/drain.hpp
+++ b/src/sidecar/drain.hpp
@@ -8,18 +8,18 @@
 // kOver is also reached from kFinishing on, as soon as no request is held and no connection open. A process
 // whose listener another one has too accepts nothing from the beginning on and goes from kAccepting to
 // kFinishing.
-#ifndef MERLINRUN_NET_DRAIN_HPP_
-#define MERLINRUN_NET_DRAIN_HPP_
+#ifndef VIOLETWING_SIDECAR_DRAIN_HPP_
+#define VIOLETWING_SIDECAR_DRAIN_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
 #include <functional>
 
-#include "merlinrun/balancer.hpp"
-#include "protocol.hpp"
+#include "sidecar/balancer_types.hpp"
+#include "sidecar/protocol.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 class Drain {
  public:
@@ -61,6 +61,6 @@
   std::function<void()> finished_;
 };
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
 
-#endif  // MERLINRUN_NET_DRAIN_HPP_
+#endif  // VIOLETWING_SIDECAR_DRAIN_HPP_
--- a/src/net/inbound.cpp
+++ b/src/sidecar/inbound.cpp
@@ -1,4 +1,4 @@
-#include "inbound.hpp"
+#include "sidecar/inbound.hpp"
 
 #include <poll.h>
 
@@ -17,7 +17,7 @@
 #include <utility>
 #include <vector>
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 namespace {
 
 // How long accepting rests when descriptors have run out: guards against a loop that spins on EMFILE.
@@ -577,4 +577,4 @@
     if (session->Idle()) session->Retire();
 }
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
--- a/src/net/inbound.hpp
+++ b/src/sidecar/inbound.hpp
@@ -1,6 +1,6 @@
 // The application's side: accepts its connections, reads requests, writes answers.
-#ifndef MERLINRUN_NET_INBOUND_HPP_
-#define MERLINRUN_NET_INBOUND_HPP_
+#ifndef VIOLETWING_SIDECAR_INBOUND_HPP_
+#define VIOLETWING_SIDECAR_INBOUND_HPP_
 
 #include <chrono>
 #include <functional>
@@ -8,10 +8,10 @@
 #include <memory>
 #include <string>
 
-#include "body.hpp"
-#include "protocol.hpp"
+#include "sidecar/body.hpp"
+#include "sidecar/protocol.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 class Inbound {
  public:
@@ -77,6 +77,6 @@
   std::list<SessionPtr> sessions_;     // the one whose last answer is oldest first
 };
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
 
-#endif  // MERLINRUN_NET_INBOUND_HPP_
+#endif  // VIOLETWING_SIDECAR_INBOUND_HPP_
--- a/src/net/kept_files.cpp
+++ b/src/sidecar/kept_files.cpp
@@ -1,4 +1,4 @@
-#include "kept_files.hpp"
+#include "sidecar/kept_files.hpp"
 
 #include <unistd.h>
 
@@ -13,7 +13,7 @@
 #include <system_error>
 #include <utility>
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 namespace {
 
 namespace fs = std::filesystem;
@@ -92,4 +92,4 @@
   return true;
 }
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
--- a/src/net/kept_files.hpp
+++ b/src/sidecar/kept_files.hpp
@@ -1,13 +1,13 @@
 // What operators have said, kept in a directory that the processes of an upgrade share: one file for each
 // name, made and removed whole.
-#ifndef MERLINRUN_NET_KEPT_FILES_HPP_
-#define MERLINRUN_NET_KEPT_FILES_HPP_
+#ifndef VIOLETWING_SIDECAR_KEPT_FILES_HPP_
+#define VIOLETWING_SIDECAR_KEPT_FILES_HPP_
 
 #include <map>
 #include <set>
 #include <string>
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 class KeptFiles {
  public:
@@ -32,6 +32,6 @@
   std::set<std::string> complained_;
 };
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
 
-#endif  // MERLINRUN_NET_KEPT_FILES_HPP_
+#endif  // VIOLETWING_SIDECAR_KEPT_FILES_HPP_
--- a/src/net/last_list.cpp
+++ b/src/sidecar/last_list.cpp
@@ -1,4 +1,4 @@
-#include "last_list.hpp"
+#include "sidecar/last_list.hpp"
 
 #include <unistd.h>
 
@@ -10,7 +10,7 @@
 #include <set>
 #include <utility>
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 namespace {
 
 // A fleet that rolls changes its list many times a second, and a list of thousands takes milliseconds to
@@ -22,7 +22,8 @@
 
 }  // namespace
 
-LastList::LastList(asio::io_context& io, const std::string& directory, const drill::WireSettings& names)
+LastList::LastList(asio::io_context& io, const std::string& directory,
+                   const bench_adapter::WireSettings& names)
     : file_((std::filesystem::path(directory) / kFile).string()), names_(names), timer_(io) {}
 
 LastList::~LastList() {
@@ -116,4 +117,4 @@
     std::fprintf(stderr, "discovery: the list's copy cannot be written to TMPDIR\n");
 }
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
--- a/src/net/last_list.hpp
+++ b/src/sidecar/last_list.hpp
@@ -1,7 +1,7 @@
 // The list of servers as it was last told, kept in a directory: a sidecar that starts with no registry up
 // begins with it. Only where further discovery addresses are configured; docs/registry.md has the use.
-#ifndef MERLINRUN_NET_LAST_LIST_HPP_
-#define MERLINRUN_NET_LAST_LIST_HPP_
+#ifndef VIOLETWING_SIDECAR_LAST_LIST_HPP_
+#define VIOLETWING_SIDECAR_LAST_LIST_HPP_
 
 #include <boost/asio/steady_timer.hpp>
 #include <map>
@@ -9,16 +9,16 @@
 #include <optional>
 #include <string>
 
-#include "discovery.hpp"
+#include "sidecar/discovery.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 class LastList {
  public:
   static constexpr const char* kFile = "fennelhollow-last-list.json";
 
   // `names` outlives it.
-  LastList(asio::io_context& io, const std::string& directory, const drill::WireSettings& names);
+  LastList(asio::io_context& io, const std::string& directory, const bench_adapter::WireSettings& names);
   ~LastList();  // writes what is not written yet
   LastList(const LastList&) = delete;
   LastList& operator=(const LastList&) = delete;
@@ -38,7 +38,7 @@
   void Write();
 
   const std::string file_;
-  const drill::WireSettings& names_;
+  const bench_adapter::WireSettings& names_;
   asio::steady_timer timer_;
   bool pending_ = false;
   bool complained_ = false;
@@ -46,6 +46,6 @@
   std::map<std::string, nlohmann::json> entries_;
 };
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
 
-#endif  // MERLINRUN_NET_LAST_LIST_HPP_
+#endif  // VIOLETWING_SIDECAR_LAST_LIST_HPP_
--- a/src/main.cpp
+++ b/src/sidecar/main.cpp
@@ -1,4 +1,4 @@
-// fennelhollow: a sidecar that balances the load of the application beside it over its servers.
+// violetwing-sidecar: a sidecar that balances the load of the application beside it over its servers.
 // SIGHUP makes it follow the discovery that its configuration names by then.
 // Exit status: 0 after SIGTERM or SIGINT, 1 if it cannot listen, 2 if the configuration makes no sense.
 #include <malloc.h>
@@ -10,12 +10,12 @@
 #include <cstdlib>
 #include <exception>
 
-#include "net/config.hpp"
-#include "net/sidecar.hpp"
+#include "sidecar/config.hpp"
+#include "sidecar/sidecar.hpp"
 
 namespace {
 
-using merlinrun::net::Sidecar;
+using violetwing::sidecar::Sidecar;
 
 // What escapes a handler ends that handler and not the sidecar, with all that it holds.
 void RunToTheEnd(boost::asio::io_context& io) {
@@ -24,7 +24,7 @@
       io.run();
       return;
     } catch (const std::exception& error) {
-      std::fprintf(stderr, "fennelhollow: %s\n", error.what());
+      std::fprintf(stderr, "violetwing-sidecar: %s\n", error.what());
     }
   }
 }
@@ -34,9 +34,9 @@
 // A configuration that makes no sense must not end a sidecar that runs: it goes on with the one it has.
 void Reload(Sidecar& sidecar) {
   try {
-    sidecar.Reload(merlinrun::net::ReloadConfig(Variable));
-  } catch (const merlinrun::net::ConfigError& error) {
-    std::fprintf(stderr, "fennelhollow: not reloaded: %s\n", error.what());
+    sidecar.Reload(violetwing::sidecar::ReloadConfig(Variable));
+  } catch (const violetwing::sidecar::ConfigError& error) {
+    std::fprintf(stderr, "violetwing-sidecar: not reloaded: %s\n", error.what());
   }
 }
 
@@ -50,7 +50,7 @@
 
 int Serve() {
   boost::asio::io_context io(1);
-  Sidecar sidecar(io, merlinrun::net::LoadConfig(Variable));
+  Sidecar sidecar(io, violetwing::sidecar::LoadConfig(Variable));
   boost::asio::signal_set hangups(io, SIGHUP);
   ReloadOnHangup(hangups, sidecar);
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
@@ -60,7 +60,7 @@
   try {
     sidecar.Start();
   } catch (const boost::system::system_error& error) {
-    std::fprintf(stderr, "fennelhollow: cannot listen: %s\n", error.what());
+    std::fprintf(stderr, "violetwing-sidecar: cannot listen: %s\n", error.what());
     return 1;
   }
   RunToTheEnd(io);
@@ -78,7 +78,7 @@
   try {
     return Serve();
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "fennelhollow: %s\n", error.what());
+    std::fprintf(stderr, "violetwing-sidecar: %s\n", error.what());
     return 2;
   }
 }
--- a/src/net/metrics.cpp
+++ b/src/sidecar/metrics.cpp
@@ -1,6 +1,6 @@
-#include "metrics.hpp"
+#include "sidecar/metrics.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 Metrics::Metrics(const std::vector<RequestClass>& classes) {
   for (const RequestClass& c : classes) {
@@ -43,4 +43,4 @@
   return text;
 }
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
--- a/src/net/metrics.hpp
+++ b/src/sidecar/metrics.hpp
@@ -1,14 +1,14 @@
 // The figures that operators fetch: counters from the start of the process on.
-#ifndef MERLINRUN_NET_METRICS_HPP_
-#define MERLINRUN_NET_METRICS_HPP_
+#ifndef VIOLETWING_SIDECAR_METRICS_HPP_
+#define VIOLETWING_SIDECAR_METRICS_HPP_
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "merlinrun/balancer.hpp"
+#include "sidecar/balancer_types.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 class Metrics {
  public:
@@ -37,6 +37,6 @@
   std::int64_t pending_ = 0;
 };
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
 
-#endif  // MERLINRUN_NET_METRICS_HPP_
+#endif  // VIOLETWING_SIDECAR_METRICS_HPP_
--- a/src/net/protocol.hpp
+++ b/src/sidecar/protocol.hpp
@@ -1,6 +1,6 @@
 // The names that the protocol fixes, and the message types that its parts share.
-#ifndef MERLINRUN_NET_PROTOCOL_HPP_
-#define MERLINRUN_NET_PROTOCOL_HPP_
+#ifndef VIOLETWING_SIDECAR_PROTOCOL_HPP_
+#define VIOLETWING_SIDECAR_PROTOCOL_HPP_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/beast/core/buffers_to_string.hpp>
@@ -13,9 +13,9 @@
 #include <string>
 #include <utility>
 
-#include "merlinrun/balancer.hpp"
+#include "sidecar/balancer_types.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 namespace asio = boost::asio;
 namespace beast = boost::beast;
@@ -74,6 +74,6 @@
   return text;
 }
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
 
-#endif  // MERLINRUN_NET_PROTOCOL_HPP_
+#endif  // VIOLETWING_SIDECAR_PROTOCOL_HPP_
--- a/src/net/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -1,4 +1,4 @@
-#include "sidecar.hpp"
+#include "sidecar/sidecar.hpp"
 
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
@@ -13,7 +13,7 @@
 #include <optional>
 #include <utility>
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 namespace {
 
 constexpr Micros kMs = 1000;
@@ -272,7 +272,7 @@
   Watch(id, call);
   if (!body->ended()) FollowBody(id, *body);
 
-  merlinrun::Request in;
+  violetwing::balancer::Request in;
   in.id = id;
   in.request_class = request_class;
   in.tenant = TenantIndex(View(call.head[kTenantHeader]));
@@ -528,7 +528,7 @@
 // ---- The end ----
 
 void Sidecar::Drain(std::function<void()> finished) {
-  net::Drain::Steps steps;
+  sidecar::Drain::Steps steps;
   steps.stop_accepting = [this] { inbound_->StopAccepting(); };
   steps.leave_queue = [this] { inbound_->LeaveQueue(); };
   steps.close_idle = [this] { inbound_->CloseIdle(); };
@@ -551,4 +551,4 @@
   for (const std::string& id : ids) OnDue(id);
 }
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
--- a/src/net/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -1,7 +1,7 @@
 // One sidecar: brings the application, the servers and discovery together around the decision module. Every
 // decision is the module's; this holds the requests, the timers and the clock.
-#ifndef MERLINRUN_NET_SIDECAR_HPP_
-#define MERLINRUN_NET_SIDECAR_HPP_
+#ifndef VIOLETWING_SIDECAR_SIDECAR_HPP_
+#define VIOLETWING_SIDECAR_SIDECAR_HPP_
 
 #include <boost/asio/steady_timer.hpp>
 #include <cstdint>
@@ -11,18 +11,18 @@
 #include <unordered_map>
 #include <vector>
 
-#include "admin.hpp"
-#include "by_hand.hpp"
-#include "config.hpp"
-#include "discovery.hpp"
-#include "drain.hpp"
-#include "inbound.hpp"
-#include "last_list.hpp"
-#include "merlinrun/balancer.hpp"
-#include "metrics.hpp"
-#include "upstream.hpp"
+#include "sidecar/admin.hpp"
+#include "sidecar/balancer_types.hpp"
+#include "sidecar/by_hand.hpp"
+#include "sidecar/config.hpp"
+#include "sidecar/discovery.hpp"
+#include "sidecar/drain.hpp"
+#include "sidecar/inbound.hpp"
+#include "sidecar/last_list.hpp"
+#include "sidecar/metrics.hpp"
+#include "sidecar/upstream.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 class Sidecar : private ActionSink {
  public:
@@ -123,9 +123,9 @@
   Micros news_taken_ = 0;           // when the watch was last read before a decision
   bool taking_ = false;             // clients
   asio::steady_timer start_timer_;  // while it waits for a list before it takes them
-  net::Drain drain_;
+  sidecar::Drain drain_;
 };
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
 
-#endif  // MERLINRUN_NET_SIDECAR_HPP_
+#endif  // VIOLETWING_SIDECAR_SIDECAR_HPP_
--- a/src/net/upstream.cpp
+++ b/src/sidecar/upstream.cpp
@@ -1,4 +1,4 @@
-#include "upstream.hpp"
+#include "sidecar/upstream.hpp"
 
 #include <sys/socket.h>
 
@@ -12,7 +12,7 @@
 #include <optional>
 #include <utility>
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 namespace {
 
 using Clock = std::chrono::steady_clock;
@@ -564,4 +564,4 @@
   if (any) SweepLater();
 }
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
--- a/src/net/upstream.hpp
+++ b/src/sidecar/upstream.hpp
@@ -1,7 +1,7 @@
 // Connections to the servers: one request on each at a time, the most recently used first. Carries out an
 // attempt exactly once and says what became of it; never sends one again by itself.
-#ifndef MERLINRUN_NET_UPSTREAM_HPP_
-#define MERLINRUN_NET_UPSTREAM_HPP_
+#ifndef VIOLETWING_SIDECAR_UPSTREAM_HPP_
+#define VIOLETWING_SIDECAR_UPSTREAM_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -10,12 +10,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "body.hpp"
-#include "discovery.hpp"
-#include "merlinrun/balancer.hpp"
-#include "protocol.hpp"
+#include "sidecar/balancer_types.hpp"
+#include "sidecar/body.hpp"
+#include "sidecar/discovery.hpp"
+#include "sidecar/protocol.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 struct UpstreamAnswer {
   Result result = Result::kUnreachable;
@@ -108,6 +108,6 @@
   std::unordered_map<AttemptId, ConnectionPtr> attempts_;  // null: it has failed, which is about to be told
 };
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
 
-#endif  // MERLINRUN_NET_UPSTREAM_HPP_
+#endif  // VIOLETWING_SIDECAR_UPSTREAM_HPP_
--- a/src/net/zone_orders.cpp
+++ b/src/sidecar/zone_orders.cpp
@@ -1,10 +1,10 @@
-#include "zone_orders.hpp"
+#include "sidecar/zone_orders.hpp"
 
 #include <cstdio>
 #include <sstream>
 #include <utility>
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 std::string ToText(const ZoneOrder& order) {
   return std::string(order.drains ? "drain " : "return ") + std::to_string(order.begun) + " " +
@@ -36,4 +36,4 @@
   return true;
 }
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
--- a/src/net/zone_orders.hpp
+++ b/src/sidecar/zone_orders.hpp
@@ -1,16 +1,16 @@
 // What operators want of zones, kept over upgrades and restarts: an order a file, with its begin in Unix
 // time.
-#ifndef MERLINRUN_NET_ZONE_ORDERS_HPP_
-#define MERLINRUN_NET_ZONE_ORDERS_HPP_
+#ifndef VIOLETWING_SIDECAR_ZONE_ORDERS_HPP_
+#define VIOLETWING_SIDECAR_ZONE_ORDERS_HPP_
 
 #include <map>
 #include <optional>
 #include <string>
 
-#include "kept_files.hpp"
-#include "merlinrun/balancer.hpp"
+#include "sidecar/balancer_types.hpp"
+#include "sidecar/kept_files.hpp"
 
-namespace merlinrun::net {
+namespace violetwing::sidecar {
 
 // "drain 1764628000000000 60000000 0.500000": begin and length in microseconds, and how far it was open.
 std::string ToText(const ZoneOrder& order);
@@ -32,6 +32,6 @@
   std::map<std::string, std::string> complained_;  // the text by zone
 };
 
-}  // namespace merlinrun::net
+}  // namespace violetwing::sidecar
 
-#endif  // MERLINRUN_NET_ZONE_ORDERS_HPP_
+#endif  // VIOLETWING_SIDECAR_ZONE_ORDERS_HPP_
--- a/tests/cli/zone_test.sh
+++ b/tests/cli/zone_test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# `violetwing zone` as an operator meets it, at a real sidecar. Usage: zone_test.sh VIOLETWING FENNELHOLLOW
+# `violetwing zone` as an operator meets it, at a real sidecar. Usage: zone_test.sh VIOLETWING VIOLETWING_SIDECAR
 set -euo pipefail
 program=$1
 sidecar=$2
--- a/tests/node/configuration_test.cpp
+++ b/tests/control/configuration/configuration_test.cpp
@@ -3,9 +3,9 @@
 #include <nlohmann/json.hpp>
 
 #include "common/random.hpp"
+#include "control/configuration/accepted_changes.hpp"
 #include "control/configuration/reader.hpp"
 #include "control/configuration/state.hpp"
-#include "control/configuration/taken_changes.hpp"
 
 namespace violetwing::configuration {
 namespace {
--- a/tests/node/patches_test.cpp
+++ b/tests/control/configuration/patches_test.cpp
@@ -2,11 +2,11 @@
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 
-#include "configuration_document.hpp"
 #include "control/configuration/recent_patches.hpp"
 #include "control/configuration/state.hpp"
-#include "dataplane/system_view.hpp"
-#include "virtual_system.hpp"
+#include "dataplane/control_client/system_view.hpp"
+#include "testing/configuration_document.hpp"
+#include "testing/virtual_system.hpp"
 
 namespace violetwing {
 namespace {
--- a/tests/node/election_test.cpp
+++ b/tests/control/consensus/election_test.cpp
@@ -2,7 +2,7 @@
 // lease.
 #include <catch2/catch.hpp>
 
-#include "control/consensus/core.hpp"
+#include "control/consensus/replica.hpp"
 
 namespace violetwing::consensus {
 namespace {
--- a/tests/node/exploration_test.cpp
+++ b/tests/control/consensus/exploration_test.cpp
@@ -1,5 +1,5 @@
 // Every order of events within small bounds, on the shipped replicas.
-#include "exploration.hpp"
+#include "testing/exploration.hpp"
 
 #include <catch2/catch.hpp>
 #include <cstdlib>
--- a/tests/node/membership_test.cpp
+++ b/tests/control/consensus/membership_test.cpp
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-#include "cluster.hpp"
+#include "testing/cluster.hpp"
 
 namespace violetwing::consensus {
 namespace {
--- a/tests/node/consensus_test.cpp
+++ b/tests/control/consensus/replica_test.cpp
@@ -1,11 +1,10 @@
 // The replicated log under faults, on a virtual clock.
-#include "messages/consensus.hpp"
-
 #include <catch2/catch.hpp>
 #include <cstdlib>
 
-#include "cluster.hpp"
-#include "wire_fields.hpp"
+#include "messages/consensus.hpp"
+#include "testing/cluster.hpp"
+#include "testing/wire_fields.hpp"
 
 namespace violetwing::consensus {
 namespace {
--- a/tests/node/replication_test.cpp
+++ b/tests/control/consensus/replication_test.cpp
@@ -4,8 +4,8 @@
 #include <set>
 #include <string>
 
-#include "cluster.hpp"
 #include "messages/consensus.hpp"
+#include "testing/cluster.hpp"
 
 namespace violetwing::consensus {
 namespace {
--- a/tests/node/digest_test.cpp
+++ b/tests/control/digest_test.cpp
@@ -13,13 +13,13 @@
 #include <utility>
 #include <vector>
 
-#include "cluster.hpp"
 #include "common/random.hpp"
-#include "configuration_document.hpp"
-#include "dataplane/chooser.hpp"
+#include "dataplane/load_balancing/load_balancer.hpp"
 #include "messages/consensus.hpp"
-#include "model_servers.hpp"
-#include "virtual_system.hpp"
+#include "testing/cluster.hpp"
+#include "testing/configuration_document.hpp"
+#include "testing/model_servers.hpp"
+#include "testing/virtual_system.hpp"
 
 namespace violetwing {
 namespace {
--- a/tests/node/instances_test.cpp
+++ b/tests/control/instances/instances_test.cpp
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 
 #include "control/instances/departures.hpp"
-#include "control/instances/table.hpp"
+#include "control/instances/instance_table.hpp"
 
 namespace violetwing {
 namespace {
--- a/tests/node/linearizability_test.cpp
+++ b/tests/control/linearizability_test.cpp
@@ -1,13 +1,13 @@
 // Histories of the operators' changes and reads, recorded on the virtual system under drawn faults, are
 // linearizable; and the checker catches histories that are not.
-#include "linearizability.hpp"
+#include "testing/linearizability.hpp"
 
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <memory>
 #include <nlohmann/json.hpp>
 
-#include "virtual_system.hpp"
+#include "testing/virtual_system.hpp"
 
 namespace violetwing::testing {
 namespace {
--- a/tests/node/commands_test.cpp
+++ b/tests/control/replication/commands_test.cpp
@@ -1,5 +1,5 @@
 // Commands of the logs, as they are written now and as earlier versions wrote them.
-#include "control/commands.hpp"
+#include "control/replication/commands.hpp"
 
 #include <catch2/catch.hpp>
 
--- a/tests/node/group_test.cpp
+++ b/tests/control/replication/replicated_state_machine_test.cpp
@@ -1,13 +1,13 @@
 // One shard in a process: who is told what became of a command.
-#include "control/group.hpp"
+#include "control/replication/replicated_state_machine.hpp"
 
 #include <catch2/catch.hpp>
 #include <deque>
 #include <string>
 #include <vector>
 
-#include "control/commands.hpp"
-#include "virtual_disk.hpp"
+#include "control/replication/commands.hpp"
+#include "testing/virtual_disk.hpp"
 
 namespace violetwing {
 namespace {
--- a/tests/node/store_test.cpp
+++ b/tests/control/storage/store_test.cpp
@@ -1,5 +1,5 @@
 // What a disk holds after writes, as the next process reads it.
-#include "control/store/store.hpp"
+#include "control/storage/store.hpp"
 
 #include <catch2/catch.hpp>
 #include <cstdlib>
--- a/tests/node/system_test.cpp
+++ b/tests/control/system_test.cpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <utility>
 
-#include "configuration_document.hpp"
-#include "virtual_system.hpp"
-#include "wire_fields.hpp"
+#include "testing/configuration_document.hpp"
+#include "testing/virtual_system.hpp"
+#include "testing/wire_fields.hpp"
 
 namespace violetwing {
 namespace {
--- a/tests/node/worst_days_test.cpp
+++ b/tests/control/worst_days_test.cpp
@@ -5,8 +5,8 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "configuration_document.hpp"
-#include "virtual_system.hpp"
+#include "testing/configuration_document.hpp"
+#include "testing/virtual_system.hpp"
 
 namespace violetwing {
 namespace {
--- a/tests/node/routing_test.cpp
+++ b/tests/dataplane/routing/routing_test.cpp
@@ -2,13 +2,13 @@
 #include <catch2/catch.hpp>
 #include <set>
 
-#include "dataplane/chooser.hpp"
-#include "dataplane/control_choice.hpp"
-#include "dataplane/directory.hpp"
-#include "dataplane/http_text.hpp"
-#include "dataplane/retry.hpp"
-#include "node/model_servers.hpp"
-#include "node/settings.hpp"
+#include "common/node_settings.hpp"
+#include "dataplane/control_client/control_process_selector.hpp"
+#include "dataplane/http/http_text.hpp"
+#include "dataplane/load_balancing/load_balancer.hpp"
+#include "dataplane/routing/directory.hpp"
+#include "dataplane/routing/retry_budget.hpp"
+#include "testing/model_servers.hpp"
 
 namespace violetwing {
 namespace {
--- a/tests/node/cluster.hpp
+++ b/tests/testing/cluster.hpp
@@ -1,8 +1,8 @@
 // A deterministic cluster: replicas of one shard on a virtual clock, with a network that delays, drops,
 // doubles and cuts, and disks that lose what was not synced, or all. Violated invariants are collected in
 // `violations`.
-#ifndef VIOLETWING_TESTS_NODE_CLUSTER_HPP_
-#define VIOLETWING_TESTS_NODE_CLUSTER_HPP_
+#ifndef VIOLETWING_TESTS_TESTING_CLUSTER_HPP_
+#define VIOLETWING_TESTS_TESTING_CLUSTER_HPP_
 
 #include <algorithm>
 #include <deque>
@@ -16,9 +16,9 @@
 #include <vector>
 
 #include "common/random.hpp"
-#include "control/consensus/core.hpp"
-#include "control/consensus/member_policy.hpp"
-#include "virtual_disk.hpp"
+#include "control/consensus/membership.hpp"
+#include "control/consensus/replica.hpp"
+#include "testing/virtual_disk.hpp"
 
 namespace violetwing::consensus {
 
@@ -327,4 +327,4 @@
 
 }  // namespace violetwing::consensus
 
-#endif  // VIOLETWING_TESTS_NODE_CLUSTER_HPP_
+#endif  // VIOLETWING_TESTS_TESTING_CLUSTER_HPP_
--- a/tests/node/configuration_document.hpp
+++ b/tests/testing/configuration_document.hpp
@@ -1,6 +1,6 @@
 // The operator's document as tests send it.
-#ifndef VIOLETWING_TESTS_NODE_CONFIGURATION_DOCUMENT_HPP_
-#define VIOLETWING_TESTS_NODE_CONFIGURATION_DOCUMENT_HPP_
+#ifndef VIOLETWING_TESTS_TESTING_CONFIGURATION_DOCUMENT_HPP_
+#define VIOLETWING_TESTS_TESTING_CONFIGURATION_DOCUMENT_HPP_
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -37,4 +37,4 @@
 
 }  // namespace violetwing::testing
 
-#endif  // VIOLETWING_TESTS_NODE_CONFIGURATION_DOCUMENT_HPP_
+#endif  // VIOLETWING_TESTS_TESTING_CONFIGURATION_DOCUMENT_HPP_
--- a/tests/node/exploration.hpp
+++ b/tests/testing/exploration.hpp
@@ -7,8 +7,8 @@
 // can stop any more: what they let out may be late on its way as well. Left out: heartbeats (appends carry
 // the commit index too), snapshots, and of two messages of one kind on one way the earlier once the later is
 // sent.
-#ifndef VIOLETWING_TESTS_NODE_EXPLORATION_HPP_
-#define VIOLETWING_TESTS_NODE_EXPLORATION_HPP_
+#ifndef VIOLETWING_TESTS_TESTING_EXPLORATION_HPP_
+#define VIOLETWING_TESTS_TESTING_EXPLORATION_HPP_
 
 #include <xxhash.h>
 
@@ -22,9 +22,9 @@
 #include <utility>
 #include <vector>
 
-#include "control/consensus/core.hpp"
+#include "control/consensus/replica.hpp"
 #include "messages/consensus.hpp"
-#include "virtual_disk.hpp"
+#include "testing/virtual_disk.hpp"
 
 namespace violetwing::consensus {
 
@@ -314,4 +314,4 @@
 
 }  // namespace violetwing::consensus
 
-#endif  // VIOLETWING_TESTS_NODE_EXPLORATION_HPP_
+#endif  // VIOLETWING_TESTS_TESTING_EXPLORATION_HPP_
--- a/tests/node/linearizability.hpp
+++ b/tests/testing/linearizability.hpp
@@ -2,8 +2,8 @@
 // a time, each between its call and its answer. After Wing and Gong (Testing and Verifying Concurrent
 // Objects, 1993), with the memory of states already tried that Lowe added (Testing for Linearizability,
 // 2017).
-#ifndef VIOLETWING_TESTS_NODE_LINEARIZABILITY_HPP_
-#define VIOLETWING_TESTS_NODE_LINEARIZABILITY_HPP_
+#ifndef VIOLETWING_TESTS_TESTING_LINEARIZABILITY_HPP_
+#define VIOLETWING_TESTS_TESTING_LINEARIZABILITY_HPP_
 
 #include <cstdint>
 #include <limits>
@@ -80,4 +80,4 @@
 
 }  // namespace violetwing::testing
 
-#endif  // VIOLETWING_TESTS_NODE_LINEARIZABILITY_HPP_
+#endif  // VIOLETWING_TESTS_TESTING_LINEARIZABILITY_HPP_
--- a/tests/node/model_servers.hpp
+++ b/tests/testing/model_servers.hpp
@@ -1,12 +1,12 @@
 // A directory of servers of one service that hold one model, for tests of choices among them.
-#ifndef VIOLETWING_TESTS_NODE_MODEL_SERVERS_HPP_
-#define VIOLETWING_TESTS_NODE_MODEL_SERVERS_HPP_
+#ifndef VIOLETWING_TESTS_TESTING_MODEL_SERVERS_HPP_
+#define VIOLETWING_TESTS_TESTING_MODEL_SERVERS_HPP_
 
 #include <map>
 #include <string>
 #include <vector>
 
-#include "dataplane/directory.hpp"
+#include "dataplane/routing/directory.hpp"
 
 namespace violetwing::testing {
 
@@ -27,4 +27,4 @@
 
 }  // namespace violetwing::testing
 
-#endif  // VIOLETWING_TESTS_NODE_MODEL_SERVERS_HPP_
+#endif  // VIOLETWING_TESTS_TESTING_MODEL_SERVERS_HPP_
--- a/tests/node/virtual_disk.hpp
+++ b/tests/testing/virtual_disk.hpp
@@ -1,10 +1,10 @@
 // What a write of a replica leaves on a disk of the deterministic harnesses.
-#ifndef VIOLETWING_TESTS_NODE_VIRTUAL_DISK_HPP_
-#define VIOLETWING_TESTS_NODE_VIRTUAL_DISK_HPP_
+#ifndef VIOLETWING_TESTS_TESTING_VIRTUAL_DISK_HPP_
+#define VIOLETWING_TESTS_TESTING_VIRTUAL_DISK_HPP_
 
 #include <algorithm>
 
-#include "control/store/store.hpp"
+#include "control/storage/store.hpp"
 
 namespace violetwing::testing {
 
@@ -28,4 +28,4 @@
 
 }  // namespace violetwing::testing
 
-#endif  // VIOLETWING_TESTS_NODE_VIRTUAL_DISK_HPP_
+#endif  // VIOLETWING_TESTS_TESTING_VIRTUAL_DISK_HPP_
--- a/tests/node/virtual_system.hpp
+++ b/tests/testing/virtual_system.hpp
@@ -2,8 +2,8 @@
 // network that delays, cuts, and may lose, double, hold up or change one message, and disks that lose what
 // was not synced. What is said between the cores goes through its form on the wire, as between real
 // processes.
-#ifndef VIOLETWING_TESTS_NODE_VIRTUAL_SYSTEM_HPP_
-#define VIOLETWING_TESTS_NODE_VIRTUAL_SYSTEM_HPP_
+#ifndef VIOLETWING_TESTS_TESTING_VIRTUAL_SYSTEM_HPP_
+#define VIOLETWING_TESTS_TESTING_VIRTUAL_SYSTEM_HPP_
 
 #include <algorithm>
 #include <deque>
@@ -18,10 +18,10 @@
 
 #include "common/random.hpp"
 #include "control/api/handlers.hpp"
-#include "control/core.hpp"
-#include "dataplane/control_choice.hpp"
-#include "dataplane/system_view.hpp"
-#include "virtual_disk.hpp"
+#include "control/control_core.hpp"
+#include "dataplane/control_client/control_process_selector.hpp"
+#include "dataplane/control_client/system_view.hpp"
+#include "testing/virtual_disk.hpp"
 
 namespace violetwing::testing {
 
@@ -331,4 +331,4 @@
 
 }  // namespace violetwing::testing
 
-#endif  // VIOLETWING_TESTS_NODE_VIRTUAL_SYSTEM_HPP_
+#endif  // VIOLETWING_TESTS_TESTING_VIRTUAL_SYSTEM_HPP_
--- a/tests/node/wire_fields.hpp
+++ b/tests/testing/wire_fields.hpp
@@ -1,6 +1,6 @@
 // Messages between the processes with one field missing or of another type, by their protocol buffers.
-#ifndef VIOLETWING_TESTS_NODE_WIRE_FIELDS_HPP_
-#define VIOLETWING_TESTS_NODE_WIRE_FIELDS_HPP_
+#ifndef VIOLETWING_TESTS_TESTING_WIRE_FIELDS_HPP_
+#define VIOLETWING_TESTS_TESTING_WIRE_FIELDS_HPP_
 
 #include <google/protobuf/descriptor.h>
 #include <google/protobuf/message.h>
@@ -45,4 +45,4 @@
 
 }  // namespace violetwing::testing
 
-#endif  // VIOLETWING_TESTS_NODE_WIRE_FIELDS_HPP_
+#endif  // VIOLETWING_TESTS_TESTING_WIRE_FIELDS_HPP_
