--- /dev/null
+++ b/src/common/time.hpp
@@ -0,0 +1,14 @@
+// The unit of time of the system's parts that hold no clock: they are given the time with each event.
+#ifndef VIOLETWING_COMMON_TIME_HPP_
+#define VIOLETWING_COMMON_TIME_HPP_
+
+#include <cstdint>
+
+namespace violetwing {
+
+/// Microseconds: a span, or a time on the steady clock of the process (steady_time.hpp).
+using Micros = std::int64_t;
+
+}  // namespace violetwing
+
+#endif  // VIOLETWING_COMMON_TIME_HPP_
--- a/src/control/api/handlers.cpp
+++ b/src/control/api/handlers.cpp
@@ -59,8 +59,8 @@
   };
 }
 
-void HandleHeartbeat(ControlCore& core, const std::string& id, const std::string& body,
-                     ControlCore::Micros now, const http::Answer& answer) {
+void HandleHeartbeat(ControlCore& core, const std::string& id, const std::string& body, Micros now,
+                     const http::Answer& answer) {
   Instance instance;
   bool draining = false;
   try {
@@ -76,8 +76,7 @@
   core.Heartbeat(std::move(instance), draining, now, AnswersTaken(answer));
 }
 
-void HandleChange(ControlCore& core, const http::Request& request, ControlCore::Micros now,
-                  const http::Answer& answer) {
+void HandleChange(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
   configuration::Change change;
   change.patch = request.method == "PATCH";
   if (!ParseIfMatch(request.if_match, change.base)) return answer(Problem(400, "If-Match: is no version"));
@@ -93,7 +92,7 @@
   });
 }
 
-void HandleRead(ControlCore& core, ControlCore::Micros now, const http::Answer& answer) {
+void HandleRead(ControlCore& core, Micros now, const http::Answer& answer) {
   core.ReadConfiguration(now, [answer](const std::optional<ControlCore::ConfigurationRead>& read) {
     if (!read) return answer(Unavailable("no quorum answers"));
     if (read->version == 0) return answer(Problem(404, "there is no configuration yet"));
@@ -101,8 +100,8 @@
   });
 }
 
-void HandlePull(ControlCore& core, PullRequest request, ControlCore::Micros now, const http::Answer& answer) {
-  core.Pull(std::move(request), now, [answer](const std::optional<PullReply>& reply) {
+void HandlePull(ControlCore& core, WatchRequest request, Micros now, const http::Answer& answer) {
+  core.Pull(std::move(request), now, [answer](const std::optional<WatchReply>& reply) {
     if (!reply) return answer(Unavailable("this process is out of touch with the others, or stops"));
     answer({200, Encode(*reply), {}, http::BodyType::kBinary});
   });
@@ -110,29 +109,27 @@
 
 }  // namespace
 
-void HandlePublic(ControlCore& core, const http::Request& request, ControlCore::Micros now,
-                  const http::Answer& answer) {
+void HandlePublic(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
   if (request.path == kConfigurationPath) {
     if (request.method == "GET") return HandleRead(core, now, answer);
     if (request.method == "PUT" || request.method == "PATCH") return HandleChange(core, request, now, answer);
   } else if (request.path.rfind(kInstancesPath, 0) == 0) {
     const std::string id = request.path.substr(std::string(kInstancesPath).size());
     if (request.method == "PUT") return HandleHeartbeat(core, id, request.body, now, answer);
-    if (request.method == "DELETE") return core.Departure(id, now, AnswersTaken(answer));
+    if (request.method == "DELETE") return core.Deregister(id, now, AnswersTaken(answer));
   }
   answer(NotFound(request));
 }
 
-void HandleInternal(ControlCore& core, const http::Request& request, ControlCore::Micros now,
-                    const http::Answer& answer) {
+void HandleInternal(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
   const auto unreadable = [&] { answer(Problem(400, request.path + ": the body is no such call")); };
   if (request.path == kExchangePath) {
     const auto exchange = Decode<ExchangeRequest>(request.body);
     if (!exchange) return unreadable();
     return answer({200, Encode(core.Exchange(*exchange, now)), {}, http::BodyType::kBinary});
   }
-  if (request.path == kPullPath) {
-    auto pull = Decode<PullRequest>(request.body);
+  if (request.path == kWatchPath) {
+    auto pull = Decode<WatchRequest>(request.body);
     return pull ? HandlePull(core, std::move(*pull), now, answer) : unreadable();
   }
   if (request.path == kDemandPath) {
--- a/src/control/api/handlers.hpp
+++ b/src/control/api/handlers.hpp
@@ -3,17 +3,16 @@
 #ifndef VIOLETWING_CONTROL_API_HANDLERS_HPP_
 #define VIOLETWING_CONTROL_API_HANDLERS_HPP_
 
+#include "common/time.hpp"
 #include "control/api/messages.hpp"
 #include "control/control_core.hpp"
 
 namespace violetwing {
 
 // Calls of servers and of the operator.
-void HandlePublic(ControlCore& core, const http::Request& request, ControlCore::Micros now,
-                  const http::Answer& answer);
+void HandlePublic(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer);
 // Calls of the other processes of the system.
-void HandleInternal(ControlCore& core, const http::Request& request, ControlCore::Micros now,
-                    const http::Answer& answer);
+void HandleInternal(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer);
 
 }  // namespace violetwing
 
--- a/src/control/configuration/accepted_changes.cpp
+++ b/src/control/configuration/accepted_changes.cpp
@@ -16,7 +16,7 @@
   return out;
 }
 
-void TakenChanges::Add(const std::string& digest, std::int64_t version) {
+void AcceptedChanges::Add(const std::string& digest, std::int64_t version) {
   changes_.insert({digest, version});
   auto& by_version = changes_.get<ByVersion>();
   while (by_version.size() > kMostKept) {
@@ -25,15 +25,15 @@
   }
 }
 
-bool TakenChanges::Contains(const std::string& digest) const { return changes_.count(digest) > 0; }
+bool AcceptedChanges::Contains(const std::string& digest) const { return changes_.count(digest) > 0; }
 
-std::map<std::string, std::int64_t> TakenChanges::Save() const {
+std::map<std::string, std::int64_t> AcceptedChanges::Save() const {
   std::map<std::string, std::int64_t> saved;
   for (const Taken& taken : changes_) saved[taken.digest] = taken.version;
   return saved;
 }
 
-void TakenChanges::Load(const std::map<std::string, std::int64_t>& saved, std::int64_t horizon) {
+void AcceptedChanges::Load(const std::map<std::string, std::int64_t>& saved, std::int64_t horizon) {
   changes_.clear();
   horizon_ = horizon;
   std::map<std::int64_t, std::string> by_version;
--- a/src/control/configuration/accepted_changes.hpp
+++ b/src/control/configuration/accepted_changes.hpp
@@ -20,7 +20,7 @@
 // Of the kind of change, its base version and its bytes: 128 bits in hexadecimal.
 std::string DigestOf(const Change& change);
 
-class TakenChanges {
+class AcceptedChanges {
  public:
   // More than a day of changes at the size aimed at (790); some 48 kB in a snapshot.
   static constexpr std::size_t kMostKept = 1024;
--- a/src/control/configuration/state.hpp
+++ b/src/control/configuration/state.hpp
@@ -55,7 +55,7 @@
   std::shared_ptr<const Configuration> current_;
   std::shared_ptr<const proto::Configuration> message_;
   std::size_t worked_ = 0;
-  TakenChanges taken_;
+  AcceptedChanges taken_;
   RecentPatches patches_;
 };
 
--- a/src/control/consensus/election.cpp
+++ b/src/control/consensus/election.cpp
@@ -1,6 +1,6 @@
 // Elections of a replica: when it looks for votes, whom it votes for, and the leader's lease.
 //
-// A replica that has started may have confirmed a lease in its life before, so it gives no vote for
+// A replica that has started may have confirmed a lease in its incarnation before, so it gives no vote for
 // `election_least`. Where all voters have started (all lost power, say) nobody is there to hold a lease, and
 // they need not wait. A candidate is told so by each voter of the group, in replies to pre-votes at its own
 // term; a voter that has heard a leader since its start, leads, or is a candidate, does not say it. It stays
@@ -134,7 +134,7 @@
   return confirmed > 0 && now - confirmed < timing_.election_least;
 }
 
-bool Replica::InTouch(Micros now) const {
+bool Replica::HasQuorumContact(Micros now) const {
   if (leader()) return Ready() && HasLease(now);
   return known_leader_.has_value() && proven_at_ > 0 && now - proven_at_ < timing_.follower_proof;
 }
--- a/src/control/consensus/membership.hpp
+++ b/src/control/consensus/membership.hpp
@@ -4,6 +4,7 @@
 
 #include <optional>
 
+#include "common/time.hpp"
 #include "control/consensus/replica.hpp"
 
 namespace violetwing::consensus {
--- a/src/control/consensus/replica.hpp
+++ b/src/control/consensus/replica.hpp
@@ -19,12 +19,12 @@
 #include <vector>
 
 #include "common/random.hpp"
+#include "common/time.hpp"
 
 namespace violetwing::consensus {
 
 using Index = std::uint64_t;
 using Term = std::uint64_t;
-using Micros = std::int64_t;  // on the steady clock of the process
 using ReplicaId = std::string;
 
 // A replica of the group and the address at which its process takes internal calls.
@@ -172,14 +172,14 @@
   // moment, on its own clock, at which a quorum is known to have confirmed a leader all of whose commits have
   // been applied here since. Messages that were held up, or lay unread while the process stood still, prove
   // nothing later than the reply of this replica that they return.
-  bool InTouch(Micros now) const;
+  bool HasQuorumContact(Micros now) const;
   const std::optional<Member>& known_leader() const { return known_leader_; }
   Term term() const { return hard_.term; }
   const Members& members() const { return members_; }
   const ReplicaId& id() const { return id_; }
   bool IsMember(const ReplicaId& id) const;
   // It has no vote, as far as it knows, or has long heard nothing that would tell it that it has none.
-  bool WantsToJoin(Micros now) const { return !IsMember(id_) || !InTouch(now); }
+  bool WantsToJoin(Micros now) const { return !IsMember(id_) || !HasQuorumContact(now); }
   Index applied() const { return applied_; }
   Index last() const { return base_ + entries_.size(); }
   // Of the entry at that index; 0 if it is not held.
@@ -307,7 +307,7 @@
   Micros now_ = 0;
   Micros leader_heard_at_ = 0;
   std::deque<Proof> proofs_;  // of heartbeats whose commits are not yet applied
-  Micros proven_at_ = 0;      // by its own clock; 0 without a proof in this process's life
+  Micros proven_at_ = 0;      // by its own clock; 0 without a proof in this process's incarnation
   std::optional<Incoming> incoming_;
   Micros election_at_ = 0;
   Micros heartbeat_at_ = 0;
--- a/src/control/control_core.cpp
+++ b/src/control/control_core.cpp
@@ -12,22 +12,22 @@
 constexpr int kMostPullWaitMs = 2'000;
 // Each wake for a change of servers costs every sidecar that waits a call and a new directory: the more
 // sidecars there are, the more changes go into one.
-constexpr ControlCore::Micros kWakePerSidecar = 750;
-constexpr ControlCore::Micros kWakeLeast = 5'000;
-constexpr ControlCore::Micros kWakeMost = 100'000;
+constexpr Micros kWakePerSidecar = 750;
+constexpr Micros kWakeLeast = 5'000;
+constexpr Micros kWakeMost = 100'000;
 // From this time between wakes on, a pull that comes between two of them waits for the second also when there
 // is news of servers. Below it the wait for the next tick would take longer than what it spares.
-constexpr ControlCore::Micros kHoldFrom = 50'000;
+constexpr Micros kHoldFrom = 50'000;
 // A document of hundreds of kB costs its sender and its reader milliseconds: of changes that follow each
 // other a sidecar is sent the last within so long.
-constexpr ControlCore::Micros kDocumentEvery = 250'000;
+constexpr Micros kDocumentEvery = 250'000;
 // Others are told of what this process has heard within so long.
-constexpr ControlCore::Micros kHeardLately = 600'000;
+constexpr Micros kHeardLately = 600'000;
 // Replicas of a shard that are wanted at least.
 constexpr int kLeastReplicas = 3;
 // Without contact with a quorum for so long, calls that need one are refused at once: an election, which
 // takes less, is waited for.
-constexpr ControlCore::Micros kElection = 1'500'000;
+constexpr Micros kElection = 1'500'000;
 
 // The first disks have names that all can tell from the seeds.
 consensus::Members Founders(const NodeSettings& settings, const std::string& disk) {
@@ -42,28 +42,28 @@
 
 }  // namespace
 
-ControlCore::ControlCore(const NodeSettings& settings, std::string life, const Shards::Stored& stored,
+ControlCore::ControlCore(const NodeSettings& settings, std::string incarnation, const Shards::Stored& stored,
                          Outputs outputs, Micros now)
     : settings_(settings),
-      life_(std::move(life)),
+      incarnation_(std::move(incarnation)),
       outputs_(std::move(outputs)),
       now_(now),
-      table_(life_, kMissedHeartbeats * settings.heartbeat_ms * 1000),
+      table_(incarnation_, kMissedHeartbeats * settings.heartbeat_ms * 1000),
       placer_(settings.lease_ms * 1000, {outputs_.order, outputs_.ask_report}),
-      peers_({settings.node_name, settings.zone, settings.InternalAddress(), settings.control_plane},
-             PeerOutputs()),
-      shards_(stored, Founders(settings, stored.disk), life_, ShardOutputs(), now),
+      gossip_({settings.node_name, settings.zone, settings.InternalAddress(), settings.control_plane},
+              PeerOutputs()),
+      shards_(stored, Founders(settings, stored.disk), incarnation_, ShardOutputs(), now),
       member_policy_(consensus::MakeMemberPolicy(
           static_cast<std::size_t>(std::max(kLeastReplicas, 2 * settings.tolerated_nodes + 1)),
           settings.catch_up_ms * 1000)),
-      out_of_touch_since_(now) {
+      quorum_contact_lost_at_(now) {
   SetSeeds(settings.seeds, now);
 }
 
-Peers::Outputs ControlCore::PeerOutputs() {
-  Peers::Outputs outputs;
+Gossip::Outputs ControlCore::PeerOutputs() {
+  Gossip::Outputs outputs;
   outputs.fill = [this](ExchangeRequest& request, const VersionVector* known) {
-    request.source = life_;
+    request.source = incarnation_;
     request.disk = shards_.disk();
     request.known = table_.known();
     request.joins = shards_.Joins(now_);
@@ -76,15 +76,15 @@
 Shards::Outputs ControlCore::ShardOutputs() {
   Shards::Outputs outputs;
   outputs.send = [this](const std::string& address, ShardMessage message) {
-    peers_.Send(address, std::move(message));
+    gossip_.Send(address, std::move(message));
   };
   outputs.propose = [this](const std::string& address, ShardProposal proposal) {
-    peers_.Propose(address, std::move(proposal));
+    gossip_.Propose(address, std::move(proposal));
   };
   outputs.write = outputs_.write;
   outputs.applied = [this](int shard) {
     pulls_due_ = true;
-    if (shard == 0) WakePulls(/*at_once=*/true);
+    if (shard == 0) AnswerWatches(/*at_once=*/true);
   };
   outputs.left = [this](const std::string& id, Phase phase) { table_.Leave(id, phase, now_); };
   return outputs;
@@ -95,35 +95,35 @@
   std::vector<ControlNode> nodes;
   nodes.reserve(seeds.size());
   for (const std::string& seed : seeds) nodes.push_back({{}, {}, settings_.InternalAddressOf(seed), seed});
-  peers_.SetSeeds(nodes);
+  gossip_.SetSeeds(nodes);
 }
 
 bool ControlCore::Isolated() const {
-  return !InTouch() && out_of_touch_since_ > 0 && now_ - out_of_touch_since_ > kElection;
+  return !HasQuorumContact() && quorum_contact_lost_at_ > 0 && now_ - quorum_contact_lost_at_ > kElection;
 }
 
 void ControlCore::Stop() {
   stopping_ = true;
-  for (const ParkedPull& pull : parked_) pull.done(std::nullopt);
-  parked_.clear();
-  peers_.Leave(now_);
+  for (const PendingWatch& pull : pending_watches_) pull.done(std::nullopt);
+  pending_watches_.clear();
+  gossip_.Leave(now_);
 }
 
 void ControlCore::Tick(Micros now) {
   now_ = now;
   shards_.Tick(now);
-  const bool in_touch = InTouch();
-  if (!in_touch) in_touch_since_ = 0;
-  if (in_touch && in_touch_since_ == 0) in_touch_since_ = now;
-  if (in_touch) out_of_touch_since_ = 0;
-  if (!in_touch && out_of_touch_since_ == 0) out_of_touch_since_ = now;
-  table_.Expire(now, in_touch);
+  const bool has_quorum_contact = HasQuorumContact();
+  if (!has_quorum_contact) quorum_contact_since_ = 0;
+  if (has_quorum_contact && quorum_contact_since_ == 0) quorum_contact_since_ = now;
+  if (has_quorum_contact) quorum_contact_lost_at_ = 0;
+  if (!has_quorum_contact && quorum_contact_lost_at_ == 0) quorum_contact_lost_at_ = now;
+  table_.Expire(now, has_quorum_contact);
   std::erase_if(document_sent_at_, [&](const auto& one) { return now - one.second >= kDocumentEvery; });
   wake_every_ = std::clamp(sidecars_.Count(now) * kWakePerSidecar, kWakeLeast, kWakeMost);
-  peers_.SetMembers(shards_.ReviewMembers(member_policy_, now));
+  gossip_.SetMembers(shards_.ReviewMembers(member_policy_, now));
   TickPlacer();
-  peers_.Tick(now);
-  WakePulls(/*at_once=*/false);
+  gossip_.Tick(now);
+  AnswerWatches(/*at_once=*/false);
   Flush();
 }
 
@@ -137,21 +137,21 @@
 
 void ControlCore::Heartbeat(Instance instance, bool draining, Micros now, const OnTaken& done) {
   now_ = now;
-  if (!InTouch()) return done(Taken::kUnavailable);
+  if (!HasQuorumContact()) return done(Taken::kUnavailable);
   const std::string id = instance.id;
   const std::string service = instance.backend;
-  const std::optional<Phase> departed = shards_.Departed(id);
-  instance.phase = departed.value_or(Phase::kReady);
-  if (departed != Phase::kGone && table_.Heartbeat(std::move(instance), now)) pulls_due_ = true;
-  if (draining && !departed) return Leave(service, id, Phase::kDraining, done);
+  const std::optional<Phase> deregistered = shards_.Deregistered(id);
+  instance.phase = deregistered.value_or(Phase::kReady);
+  if (deregistered != Phase::kDeregistered && table_.Heartbeat(std::move(instance), now)) pulls_due_ = true;
+  if (draining && !deregistered) return Leave(service, id, Phase::kDraining, done);
   done(Taken::kTaken);
 }
 
-void ControlCore::Departure(const std::string& id, Micros now, const OnTaken& done) {
+void ControlCore::Deregister(const std::string& id, Micros now, const OnTaken& done) {
   now_ = now;
-  if (shards_.Departed(id) == Phase::kGone) return done(Taken::kTaken);
+  if (shards_.Deregistered(id) == Phase::kDeregistered) return done(Taken::kTaken);
   const InstanceTable::Record* record = table_.Find(id);
-  Leave(record == nullptr ? std::string() : record->instance.backend, id, Phase::kGone, done);
+  Leave(record == nullptr ? std::string() : record->instance.backend, id, Phase::kDeregistered, done);
 }
 
 void ControlCore::Leave(const std::string& service, const std::string& id, Phase phase, const OnTaken& done) {
@@ -182,11 +182,11 @@
 
 ExchangeReply ControlCore::Exchange(const ExchangeRequest& request, Micros now) {
   now_ = now;
-  peers_.Meet(request.from, now);
-  peers_.Knows(request.from.address, request.source, request.known);
-  // What an earlier life of this process knew is not known here: its vector would hide the difference for
-  // good.
-  if (request.changed_for.empty() || request.changed_for == life_) MergeInstances(request.changed);
+  gossip_.Meet(request.from, now);
+  gossip_.Knows(request.from.address, request.source, request.known);
+  // What an earlier incarnation of this process knew is not known here: its vector would hide the difference
+  // for good.
+  if (request.changed_for.empty() || request.changed_for == incarnation_) MergeInstances(request.changed);
   shards_.Meet(request.disk, request.from.address);
   shards_.SetLeaving(request.disk, request.from.leaving);
   for (const int shard : request.joins) shards_.Join(shard, {request.disk, request.from.address}, now);
@@ -194,13 +194,13 @@
   for (const ShardProposal& proposal : request.proposals) shards_.TakeForwarded(proposal);
   CountDemand(request.demand);
   ExchangeReply reply;
-  reply.source = life_;
+  reply.source = incarnation_;
   reply.changed = table_.ChangedSince(request.known);
   reply.known = table_.known();
   if (request.wants_heard) {
     reply.heard = table_.HeardSince(now - kHeardLately, now);
     reply.edges = sidecars_.HeardSince(now - kHeardLately, now);
-    reply.controls = peers_.Known(now);
+    reply.controls = gossip_.Known(now);
   }
   TellNews();
   Flush();
@@ -210,9 +210,9 @@
 void ControlCore::Exchanged(const std::string& address, const std::optional<ExchangeReply>& reply,
                             Micros now) {
   now_ = now;
-  peers_.OnExchanged(address, reply.has_value(), now);
+  gossip_.OnExchanged(address, reply.has_value(), now);
   if (reply) {
-    peers_.Knows(address, reply->source, reply->known);
+    gossip_.Knows(address, reply->source, reply->known);
     Take(*reply);
     TellNews();
   }
@@ -223,49 +223,50 @@
 void ControlCore::MergeInstances(const std::vector<Instance>& changed) {
   table_.Merge(changed, now_);
   for (const Instance& instance : changed)
-    if (const auto phase = shards_.Departed(instance.id)) table_.Leave(instance.id, *phase, now_);
+    if (const auto phase = shards_.Deregistered(instance.id)) table_.Leave(instance.id, *phase, now_);
 }
 
 void ControlCore::Take(const ExchangeReply& reply) {
   MergeInstances(reply.changed);
-  for (const Heard& heard : reply.heard) table_.Hear(heard, now_);
-  for (const HeardSidecar& sidecar : reply.edges) sidecars_.HearOf(sidecar, now_);
-  for (const ControlNode& node : reply.controls) peers_.Meet(node, now_);
+  for (const LastSeen& heard : reply.heard) table_.Hear(heard, now_);
+  for (const SidecarLastSeen& sidecar : reply.edges) sidecars_.HearOf(sidecar, now_);
+  for (const ControlNode& node : reply.controls) gossip_.Meet(node, now_);
 }
 
 // ---- Sidecars ----
 
-void ControlCore::Pull(PullRequest request, Micros now, const OnPulled& done) {
+void ControlCore::Pull(WatchRequest request, Micros now, const OnWatched& done) {
   now_ = now;
   sidecars_.Hear(request.node, request.address, now);
   CountDemand(request.demand);
   const bool hold = wake_every_ >= kHoldFrom && now - woken_at_ < wake_every_;
-  if (!AnswerPull(request, done, hold ? PullAnswer::kUnlessServersAlone : PullAnswer::kWithNews)) {
+  if (!AnswerWatch(request, done, hold ? WatchAnswer::kUnlessServersAlone : WatchAnswer::kWithNews)) {
     const Micros until = now + std::clamp(request.wait_ms, 0, kMostPullWaitMs) * Micros{1000};
-    parked_.push_back({std::move(request), until, done});
+    pending_watches_.push_back({std::move(request), until, done});
   }
   Flush();
 }
 
-bool ControlCore::AnswerPull(const PullRequest& request, const OnPulled& done, PullAnswer when) {
-  if (!InTouch()) {
+bool ControlCore::AnswerWatch(const WatchRequest& request, const OnWatched& done, WatchAnswer when) {
+  if (!HasQuorumContact()) {
     done(std::nullopt);
     return true;
   }
   // A list is whole once every server that lives has had the time to say so.
-  const bool settled = in_touch_since_ > 0 && now_ - in_touch_since_ > 2 * settings_.heartbeat_ms * 1000;
-  const bool whole = settled && request.source != life_;
+  const bool settled =
+      quorum_contact_since_ > 0 && now_ - quorum_contact_since_ > 2 * settings_.heartbeat_ms * 1000;
+  const bool whole = settled && request.source != incarnation_;
   const bool behind = configuration().version() > request.configuration;
-  const bool newer = behind && DocumentDue(request.node, when == PullAnswer::kAlways);
+  const bool newer = behind && DocumentDue(request.node, when == WatchAnswer::kAlways);
   document_held_ = document_held_ || (behind && !newer);
-  if (when != PullAnswer::kAlways && !whole && !newer) {
+  if (when != WatchAnswer::kAlways && !whole && !newer) {
     const bool missing = table_.Misses(request.known);
-    const bool held = missing && when == PullAnswer::kUnlessServersAlone;
+    const bool held = missing && when == WatchAnswer::kUnlessServersAlone;
     pulls_due_ = pulls_due_ || held;
     if (!missing || held) return false;
   }
-  PullReply reply;
-  reply.source = whole || request.source == life_ ? life_ : std::string();
+  WatchReply reply;
+  reply.source = whole || request.source == incarnation_ ? incarnation_ : std::string();
   reply.whole = whole;
   reply.configuration = configuration().version();
   if (newer) FillConfiguration(request, reply);
@@ -273,8 +274,8 @@
   // holds.
   reply.changed = table_.ChangedSince(whole ? VersionVector() : request.known);
   reply.known = table_.known();
-  reply.controls = peers_.Known(now_);
-  const Sidecars::Place place = sidecars_.PlaceOf(request.node, now_);
+  reply.controls = gossip_.Known(now_);
+  const SidecarRegistry::Place place = sidecars_.PlaceOf(request.node, now_);
   reply.number = place.number;
   reply.sidecars = place.count;
   reply.neighbors = sidecars_.NeighborsOf(request.node, now_);
@@ -283,7 +284,7 @@
   return true;
 }
 
-void ControlCore::FillConfiguration(const PullRequest& request, PullReply& reply) {
+void ControlCore::FillConfiguration(const WatchRequest& request, WatchReply& reply) {
   document_sent_at_[request.node] = now_;
   std::optional<std::vector<std::string>> patches;
   if (request.takes_patches) patches = configuration().PatchesSince(request.configuration);
@@ -298,17 +299,18 @@
   return at_once || sent == document_sent_at_.end() || now_ - sent->second >= kDocumentEvery;
 }
 
-void ControlCore::WakePulls(bool at_once) {
+void ControlCore::AnswerWatches(bool at_once) {
   const bool due = (pulls_due_ || document_held_) && (at_once || now_ - woken_at_ >= wake_every_);
   if (due) {
     pulls_due_ = document_held_ = false;
     woken_at_ = now_;
   }
-  const bool in_touch = InTouch();
-  for (auto it = parked_.begin(); it != parked_.end();) {
-    const bool over = now_ >= it->until || !in_touch;
-    const PullAnswer when = over ? PullAnswer::kAlways : PullAnswer::kWithNews;
-    it = (over || due) && AnswerPull(it->request, it->done, when) ? parked_.erase(it) : std::next(it);
+  const bool has_quorum_contact = HasQuorumContact();
+  for (auto it = pending_watches_.begin(); it != pending_watches_.end();) {
+    const bool over = now_ >= it->until || !has_quorum_contact;
+    const WatchAnswer when = over ? WatchAnswer::kAlways : WatchAnswer::kWithNews;
+    it = (over || due) && AnswerWatch(it->request, it->done, when) ? pending_watches_.erase(it)
+                                                                   : std::next(it);
   }
 }
 
@@ -331,7 +333,7 @@
     return;
   }
   const std::string leader = shards_.ConfigurationLeader();
-  if (!leader.empty()) peers_.Tell(leader, demand);
+  if (!leader.empty()) gossip_.Tell(leader, demand);
 }
 
 void ControlCore::TickPlacer() {
@@ -346,10 +348,10 @@
   if (!table_.Misses(told_)) return;
   told_ = table_.known();
   pulls_due_ = true;
-  WakePulls(/*at_once=*/false);
-  if (told_[life_] <= spread_) return;
-  spread_ = told_[life_];
-  peers_.SpreadNews(now_);
+  AnswerWatches(/*at_once=*/false);
+  if (told_[incarnation_] <= spread_) return;
+  spread_ = told_[incarnation_];
+  gossip_.SpreadNews(now_);
 }
 
 void ControlCore::OrdersDue(Micros now) {
--- a/src/control/control_service.cpp
+++ b/src/control/control_service.cpp
@@ -60,7 +60,7 @@
 ControlService::ControlService(event_base* base, NodeSettings settings)
     : base_(base),
       settings_(std::move(settings)),
-      life_(settings_.node_name + "/" + RandomName().substr(0, 8)),
+      incarnation_(settings_.node_name + "/" + RandomName().substr(0, 8)),
       public_api_(base,
                   [this](const http::Request& request, const http::Answer& answer) {
                     HandlePublic(*core_, request, SteadyMicros(), answer);
@@ -79,8 +79,8 @@
 
 std::error_code ControlService::Start(std::string& problem) {
   if (const std::error_code error = OpenDisk(problem)) return error;
-  core_ = std::make_unique<ControlCore>(settings_, life_, Shards::Stored{store_.disk(), store_.stored()},
-                                        CoreOutputs(), SteadyMicros());
+  core_ = std::make_unique<ControlCore>(
+      settings_, incarnation_, Shards::Stored{store_.disk(), store_.stored()}, CoreOutputs(), SteadyMicros());
   if (const std::error_code error = Listen(problem)) return error;
   if (const std::error_code error = WatchDisk(problem)) return error;
   tick_ = event_new(
--- a/src/control/control_service.hpp
+++ b/src/control/control_service.hpp
@@ -46,7 +46,7 @@
 
   event_base* const base_;
   const NodeSettings settings_;
-  const std::string life_;  // one life of this process
+  const std::string incarnation_;  // one incarnation of this process
   Store store_;
   http::Server public_api_;
   http::Server internal_api_;
--- a/src/control/gossip/gossip.hpp
+++ b/src/control/gossip/gossip.hpp
@@ -10,13 +10,13 @@
 #include <string>
 #include <vector>
 
+#include "common/time.hpp"
 #include "messages/peer.hpp"
 
 namespace violetwing {
 
-class Peers {
+class Gossip {
  public:
-  using Micros = std::int64_t;
   struct Outputs {
     // Adds what every exchange carries; `known` is what the other one last said that it knows, null if it has
     // said nothing yet.
@@ -24,7 +24,7 @@
     std::function<void(const std::string& address, ExchangeRequest)> exchange;
   };
 
-  Peers(ControlNode self, Outputs outputs) : self_(std::move(self)), outputs_(std::move(outputs)) {}
+  Gossip(ControlNode self, Outputs outputs) : self_(std::move(self)), outputs_(std::move(outputs)) {}
 
   void SetSeeds(const std::vector<ControlNode>& seeds);
   // Replicas of the shards' groups: always talked to.
@@ -35,7 +35,7 @@
   void Propose(const std::string& address, ShardProposal proposal);
   void Tell(const std::string& address, std::vector<ModelDemand> demand);
   // What the process at this address knows, by its own word.
-  void Knows(const std::string& address, const std::string& life, const VersionVector& known);
+  void Knows(const std::string& address, const std::string& incarnation, const VersionVector& known);
   // This process is about to end: all are told at once.
   void Leave(Micros now);
   // There is news of this process that all others should have soon.
@@ -65,7 +65,7 @@
     bool urgent = false;  // `next` holds something that was said
     bool news = false;    // it should hear what has changed here
     std::optional<VersionVector> known;
-    std::string life;  // of the process there that said so
+    std::string incarnation;  // of the process there that said so
   };
 
   Peer& Get(const std::string& address);
--- a/src/control/gossip/sidecar_registry.cpp
+++ b/src/control/gossip/sidecar_registry.cpp
@@ -8,25 +8,25 @@
 namespace {
 
 // Without a word of a sidecar for so long, the others share its part of what all may spend.
-constexpr Sidecars::Micros kLostAfter = 5'000'000;
+constexpr Micros kLostAfter = 5'000'000;
 // Neighbors of a sidecar, on both sides together: what each report of load costs in datagrams.
 constexpr std::size_t kMostNeighbors = 24;
 
 }  // namespace
 
-void Sidecars::Hear(const std::string& name, const std::string& address, Micros now) {
+void SidecarRegistry::Hear(const std::string& name, const std::string& address, Micros now) {
   Sidecar& sidecar = sidecars_[name];
   sidecar.address = address;
   sidecar.heard_at = sidecar.heard_directly_at = now;
 }
 
-void Sidecars::HearOf(const HeardSidecar& heard, Micros now) {
+void SidecarRegistry::HearOf(const SidecarLastSeen& heard, Micros now) {
   Sidecar& sidecar = sidecars_[heard.id];
   if (!heard.address.empty()) sidecar.address = heard.address;
   sidecar.heard_at = std::max(sidecar.heard_at, now - heard.age_ms * 1000);
 }
 
-Sidecars::Place Sidecars::PlaceOf(const std::string& name, Micros now) const {
+SidecarRegistry::Place SidecarRegistry::PlaceOf(const std::string& name, Micros now) const {
   Place place;
   int count = 0;
   for (const auto& [other, sidecar] : sidecars_) {
@@ -38,7 +38,7 @@
   return place;
 }
 
-Neighbors Sidecars::NeighborsOf(const std::string& name, Micros now) const {
+Neighbors SidecarRegistry::NeighborsOf(const std::string& name, Micros now) const {
   std::vector<const std::string*> ring;  // addresses, in the order of the numbers
   std::size_t own = 0;
   for (const auto& [other, sidecar] : sidecars_) {
@@ -62,8 +62,8 @@
   return out;
 }
 
-std::vector<HeardSidecar> Sidecars::HeardSince(Micros since, Micros now) const {
-  std::vector<HeardSidecar> out;
+std::vector<SidecarLastSeen> SidecarRegistry::HeardSince(Micros since, Micros now) const {
+  std::vector<SidecarLastSeen> out;
   for (const auto& [name, sidecar] : sidecars_)
     if (sidecar.heard_directly_at > since)
       out.push_back({name, sidecar.address, (now - sidecar.heard_directly_at) / 1000});
--- a/src/control/gossip/sidecar_registry.hpp
+++ b/src/control/gossip/sidecar_registry.hpp
@@ -9,13 +9,13 @@
 #include <string>
 #include <vector>
 
+#include "common/time.hpp"
 #include "messages/peer.hpp"
 
 namespace violetwing {
 
-class Sidecars {
+class SidecarRegistry {
  public:
-  using Micros = std::int64_t;
   // The place of one sidecar among all, from 0, and how many there are.
   struct Place {
     int number = 0;
@@ -25,13 +25,13 @@
   // A call of the sidecar to this process. `address`: where it takes the reports of other sidecars.
   void Hear(const std::string& name, const std::string& address, Micros now);
   // A call to another control process, as that one tells.
-  void HearOf(const HeardSidecar& heard, Micros now);
+  void HearOf(const SidecarLastSeen& heard, Micros now);
   int Count(Micros now) const { return PlaceOf({}, now).count; }
   Place PlaceOf(const std::string& name, Micros now) const;
   // Those with the nearest numbers on either side, as the numbers go round.
   Neighbors NeighborsOf(const std::string& name, Micros now) const;
   // Those that this process itself has heard after `since`.
-  std::vector<HeardSidecar> HeardSince(Micros since, Micros now) const;
+  std::vector<SidecarLastSeen> HeardSince(Micros since, Micros now) const;
 
  private:
   struct Sidecar {
--- a/src/control/instances/departures.cpp
+++ b/src/control/instances/departures.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void Departures::Apply(const std::string& id, Phase phase) {
+void Deregistrations::Apply(const std::string& id, Phase phase) {
   const auto [it, fresh] = phases_.try_emplace(id, phase);
   it->second = std::max(it->second, phase);
   if (!fresh) return;
@@ -20,15 +20,17 @@
   order_.pop_front();
 }
 
-std::optional<Phase> Departures::Find(const std::string& id) const {
+std::optional<Phase> Deregistrations::Find(const std::string& id) const {
   const auto it = phases_.find(id);
   if (it == phases_.end()) return std::nullopt;
   return it->second;
 }
 
-std::string Departures::Save() const { return nlohmann::json{{"phases", phases_}, {"order", order_}}.dump(); }
+std::string Deregistrations::Save() const {
+  return nlohmann::json{{"phases", phases_}, {"order", order_}}.dump();
+}
 
-void Departures::Load(const std::string& saved) {
+void Deregistrations::Load(const std::string& saved) {
   const nlohmann::json in = nlohmann::json::parse(saved);
   in.at("phases").get_to(phases_);
   in.at("order").get_to(order_);
--- a/src/control/instances/departures.hpp
+++ b/src/control/instances/departures.hpp
@@ -13,9 +13,9 @@
 
 namespace violetwing {
 
-class Departures {
+class Deregistrations {
  public:
-  // `phase` is kDraining or kGone; what has gone does not drain again.
+  // `phase` is kDraining or kDeregistered; what has gone does not drain again.
   void Apply(const std::string& id, Phase phase);
   std::optional<Phase> Find(const std::string& id) const;
   const std::map<std::string, Phase>& all() const { return phases_; }
--- a/src/control/instances/instance_table.cpp
+++ b/src/control/instances/instance_table.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 // A record of a server that is gone or lost is kept so long, so that all readers come to know of it.
-constexpr InstanceTable::Micros kForgetAfter = 30'000'000;
+constexpr Micros kForgetAfter = 30'000'000;
 // A pause between two looks at the table by which this process itself stood still.
-constexpr InstanceTable::Micros kStoodStill = 700'000;
+constexpr Micros kStoodStill = 700'000;
 
 }  // namespace
 
@@ -38,8 +38,8 @@
   std::vector<std::string> others;
   const auto [begin, end] = records_.get<ByAddress>().equal_range(address);
   for (auto it = begin; it != end; ++it)
-    if (it->id != id && it->instance.phase != Phase::kGone) others.push_back(it->id);
-  for (const std::string& other : others) Leave(other, Phase::kGone, now);
+    if (it->id != id && it->instance.phase != Phase::kDeregistered) others.push_back(it->id);
+  for (const std::string& other : others) Leave(other, Phase::kDeregistered, now);
 }
 
 bool InstanceTable::Heartbeat(Instance instance, Micros now) {
@@ -102,7 +102,7 @@
   });
 }
 
-void InstanceTable::Hear(const Heard& heard, Micros now) {
+void InstanceTable::Hear(const LastSeen& heard, Micros now) {
   const auto it = records_.find(heard.id);
   if (it == records_.end()) return;
   records_.modify(it, [&](Record& record) {
@@ -120,7 +120,7 @@
   if (it == records_.end() || LaterPhase(it->instance.phase, phase) == it->instance.phase) return;
   records_.modify(it, [&](Record& record) {
     record.instance.phase = phase;
-    if (phase == Phase::kGone) record.heard_at = now;
+    if (phase == Phase::kDeregistered) record.heard_at = now;
     Stamp(record.instance);
   });
 }
@@ -134,13 +134,13 @@
   });
 }
 
-void InstanceTable::Expire(Micros now, bool in_touch) {
-  const bool trusted = in_touch && now - expired_at_ < kStoodStill;
+void InstanceTable::Expire(Micros now, bool has_quorum_contact) {
+  const bool trusted = has_quorum_contact && now - expired_at_ < kStoodStill;
   expired_at_ = now;
   for (auto it = records_.begin(); it != records_.end();) {
     const Micros silent = now - it->heard_at;
     const Phase phase = it->instance.phase;
-    const bool over = phase == Phase::kGone || phase == Phase::kLost;
+    const bool over = phase == Phase::kDeregistered || phase == Phase::kLost;
     if (over && silent > kForgetAfter) {
       it = records_.erase(it);
       continue;
@@ -181,8 +181,8 @@
   });
 }
 
-std::vector<Heard> InstanceTable::HeardSince(Micros since, Micros now) const {
-  std::vector<Heard> out;
+std::vector<LastSeen> InstanceTable::HeardSince(Micros since, Micros now) const {
+  std::vector<LastSeen> out;
   for (const Record& record : records_)
     if (record.heard_directly_at > since)
       out.push_back({record.id, record.instance.sequence, (now - record.heard_directly_at) / 1000});
--- a/src/control/instances/instance_table.hpp
+++ b/src/control/instances/instance_table.hpp
@@ -15,6 +15,7 @@
 #include <string>
 #include <vector>
 
+#include "common/time.hpp"
 #include "messages/instances.hpp"
 #include "messages/peer.hpp"
 
@@ -22,8 +23,6 @@
 
 class InstanceTable {
  public:
-  using Micros = std::int64_t;
-
   struct Record {
     std::string id;
     std::string address;
@@ -32,7 +31,7 @@
     Micros heard_directly_at = 0;  // by this one; 0 if never
   };
 
-  // `origin` names one life of this process. A server that nobody has heard for `lost_after` is lost.
+  // `origin` names one incarnation of this process. A server that nobody has heard for `lost_after` is lost.
   InstanceTable(std::string origin, Micros lost_after)
       : origin_(std::move(origin)), lost_after_(lost_after) {}
 
@@ -40,19 +39,19 @@
   bool Heartbeat(Instance instance, Micros now);
   // All that this table misses of what another control process knows.
   void Merge(const std::vector<Instance>& changed, Micros now);
-  void Hear(const Heard& heard, Micros now);
+  void Hear(const LastSeen& heard, Micros now);
   // It leaves, or has left; this holds for good.
   void Leave(const std::string& id, Phase phase, Micros now);
   // What a server has told this process that it holds now.
   void SetModels(const std::string& id, std::vector<HeldModel> models);
-  // Servers that were silent for long are lost. While `in_touch` is false, or after this process stood still,
-  // it may be the one that hears nothing, and all count as heard.
-  void Expire(Micros now, bool in_touch);
+  // Servers that were silent for long are lost. While `has_quorum_contact` is false, or after this process
+  // stood still, it may be the one that hears nothing, and all count as heard.
+  void Expire(Micros now, bool has_quorum_contact);
 
   const Record* Find(const std::string& id) const;
   std::vector<Instance> ChangedSince(const VersionVector& known) const;
   bool Misses(const VersionVector& known) const;
-  std::vector<Heard> HeardSince(Micros since, Micros now) const;
+  std::vector<LastSeen> HeardSince(Micros since, Micros now) const;
   void ForEach(const std::function<void(const Record&)>& visit) const;
   const VersionVector& known() const { return known_; }
   const std::string& origin() const { return origin_; }
--- a/src/control/placement/demand.cpp
+++ b/src/control/placement/demand.cpp
@@ -11,11 +11,9 @@
 // For models that are asked for once in some seconds.
 constexpr double kSteadyMemoryS = 15;
 // A request that waits is told of every few hundred ms.
-constexpr Demand::Micros kWaitingFor = 1'000'000;
+constexpr Micros kWaitingFor = 1'000'000;
 
-double Decay(Demand::Micros span, double memory_s) {
-  return std::exp(-static_cast<double>(span) / 1e6 / memory_s);
-}
+double Decay(Micros span, double memory_s) { return std::exp(-static_cast<double>(span) / 1e6 / memory_s); }
 
 }  // namespace
 
--- a/src/control/placement/demand.hpp
+++ b/src/control/placement/demand.hpp
@@ -7,14 +7,13 @@
 #include <map>
 #include <string>
 
+#include "common/time.hpp"
 #include "messages/instances.hpp"
 
 namespace violetwing {
 
 class Demand {
  public:
-  using Micros = std::int64_t;
-
   struct Of {
     double requests = 0;    // a second, lately
     double steady = 0;      // the same over a longer time
--- a/src/control/placement/placement_state.cpp
+++ b/src/control/placement/placement_state.cpp
@@ -9,22 +9,22 @@
 using Kind = PlacementCall::Kind;
 
 // Sidecars learn within this time that a model is about to go.
-constexpr OrderBook::Micros kBeforeUnload = 130'000;
+constexpr Micros kBeforeUnload = 130'000;
 // An order that is under way is asked after again by repeating it.
-constexpr OrderBook::Micros kAskAgain = 120'000;
+constexpr Micros kAskAgain = 120'000;
 // A load is asked after when it should be done, with so much to spare.
 constexpr double kLoadSpare = 1.02;
-constexpr OrderBook::Micros kAfterLoad = 10'000;
+constexpr Micros kAfterLoad = 10'000;
 // An unload waits for the model's runs to end: it is asked after at first so soon, then after twice that and
 // so on.
-constexpr OrderBook::Micros kUnloadFirst = 60'000;
+constexpr Micros kUnloadFirst = 60'000;
 constexpr int kUnloadDoublings = 3;
 // A server whose state is not certain is asked for its report; what it tells there is some hundred ms old.
-constexpr OrderBook::Micros kAskReportAgain = 250'000;
-constexpr OrderBook::Micros kSilentReportAgain = 1'000'000;
-constexpr OrderBook::Micros kGiveUpAfter = 12'000'000;
+constexpr Micros kAskReportAgain = 250'000;
+constexpr Micros kSilentReportAgain = 1'000'000;
+constexpr Micros kGiveUpAfter = 12'000'000;
 // Who waited for a model has begun to run there after so long.
-constexpr OrderBook::Micros kServesWaiting = 2'000'000;
+constexpr Micros kServesWaiting = 2'000'000;
 
 void SetHeld(std::vector<HeldModel>& models, const std::string& model, const std::string& adapter,
              bool held) {
@@ -42,25 +42,25 @@
 
 }  // namespace
 
-bool OrderBook::Work::Brings(const std::string& model, const std::string& adapter) const {
+bool PlacementState::Work::Brings(const std::string& model, const std::string& adapter) const {
   const bool loads = order.kind == Kind::kLoad && order.model == model && order.adapter == adapter;
   return loads || (then && then->model == model && then->adapter == adapter);
 }
 
-bool OrderBook::Work::BringsModel() const {
+bool PlacementState::Work::BringsModel() const {
   return (order.kind == Kind::kLoad && order.adapter.empty()) || (then && then->adapter.empty());
 }
 
-bool OrderBook::Server::Holds(const std::string& model) const {
+bool PlacementState::Server::Holds(const std::string& model) const {
   return std::any_of(models.begin(), models.end(), [&](const HeldModel& held) { return held.name == model; });
 }
 
-bool OrderBook::Server::JustLoaded(const std::string& model, Micros now) const {
+bool PlacementState::Server::JustLoaded(const std::string& model, Micros now) const {
   const auto it = loaded_at.find(model);
   return it != loaded_at.end() && now - it->second < kServesWaiting;
 }
 
-std::size_t OrderBook::Server::Adapters() const {
+std::size_t PlacementState::Server::Adapters() const {
   std::size_t count = 0;
   for (const HeldModel& held : models) count += held.adapters.size();
   return count;
@@ -68,8 +68,8 @@
 
 // ---- Who is there ----
 
-void OrderBook::Meet(const configuration::Configuration& configuration, const InstanceTable& table,
-                     Micros now) {
+void PlacementState::Meet(const configuration::Configuration& configuration, const InstanceTable& table,
+                          Micros now) {
   std::erase_if(servers_, [&](const auto& entry) {
     const InstanceTable::Record* record = table.Find(entry.first);
     return record == nullptr || record->instance.phase != Phase::kReady;
@@ -95,19 +95,19 @@
   });
 }
 
-void OrderBook::Publish(InstanceTable& table) const {
+void PlacementState::Publish(InstanceTable& table) const {
   for (const auto& [id, server] : servers_) table.SetModels(id, server.models);
 }
 
-bool OrderBook::OnItsWay(const std::string& service, const std::string& model,
-                         const std::string& adapter) const {
+bool PlacementState::OnItsWay(const std::string& service, const std::string& model,
+                              const std::string& adapter) const {
   return std::any_of(servers_.begin(), servers_.end(), [&](const auto& entry) {
     const Server& server = entry.second;
     return server.work && server.service == service && server.work->Brings(model, adapter);
   });
 }
 
-int OrderBook::LoadsUnderWay() const {
+int PlacementState::LoadsUnderWay() const {
   return static_cast<int>(std::count_if(servers_.begin(), servers_.end(), [](const auto& entry) {
     return entry.second.work && entry.second.work->BringsModel();
   }));
@@ -115,7 +115,7 @@
 
 // ---- Orders ----
 
-std::vector<PlacementCall> OrderBook::DueCalls(Micros now) {
+std::vector<PlacementCall> PlacementState::DueCalls(Micros now) {
   std::vector<PlacementCall> calls;
   for (auto& [id, server] : servers_) {
     if (server.work && server.work->send_at > 0 && now >= server.work->send_at) {
@@ -132,7 +132,7 @@
   return calls;
 }
 
-std::optional<OrderBook::Micros> OrderBook::NextDueAt() const {
+std::optional<Micros> PlacementState::NextDueAt() const {
   std::optional<Micros> next;
   const auto take = [&](Micros at) {
     if (at > 0 && (!next || at < *next)) next = at;
@@ -144,7 +144,7 @@
   return next;
 }
 
-void OrderBook::Start(Server& server, PlacementCall order, Micros send_at, Micros now) {
+void PlacementState::Start(Server& server, PlacementCall order, Micros send_at, Micros now) {
   Work work;
   work.order = std::move(order);
   work.send_at = send_at;
@@ -152,21 +152,22 @@
   server.work = std::move(work);
 }
 
-void OrderBook::StartLoad(const std::string& instance, const Load& load, Micros now) {
+void PlacementState::StartLoad(const std::string& instance, const Load& load, Micros now) {
   Server& server = servers_.at(instance);
   Start(server, {Kind::kLoad, instance, server.address, load.model, load.adapter, {}}, now, now);
   server.work->seconds = load.seconds;
 }
 
-void OrderBook::StartUnload(const std::string& instance, const std::string& model, const std::string& adapter,
-                            const Load& then, Micros now) {
+void PlacementState::StartUnload(const std::string& instance, const std::string& model,
+                                 const std::string& adapter, const Load& then, Micros now) {
   Server& server = servers_.at(instance);
   SetHeld(server.models, model, adapter, false);
   Start(server, {Kind::kUnload, instance, server.address, model, adapter, {}}, now + kBeforeUnload, now);
   server.work->then = then;
 }
 
-std::optional<OrderBook::Arrived> OrderBook::OnAnswer(const PlacementCall& order, int status, Micros now) {
+std::optional<PlacementState::Arrived> PlacementState::OnAnswer(const PlacementCall& order, int status,
+                                                                Micros now) {
   const auto it = servers_.find(order.instance);
   if (it == servers_.end() || !it->second.work) return std::nullopt;
   Server& server = it->second;
@@ -197,7 +198,8 @@
   return std::nullopt;
 }
 
-void OrderBook::OnReport(const std::string& instance, const std::optional<ServerReport>& report, Micros now) {
+void PlacementState::OnReport(const std::string& instance, const std::optional<ServerReport>& report,
+                              Micros now) {
   const auto it = servers_.find(instance);
   if (it == servers_.end() || it->second.work) return;
   Server& server = it->second;
@@ -209,7 +211,7 @@
   server.models = report->models;
 }
 
-std::optional<OrderBook::Arrived> OrderBook::Done(Server& server, const Work& work, Micros now) {
+std::optional<PlacementState::Arrived> PlacementState::Done(Server& server, const Work& work, Micros now) {
   const PlacementCall& order = work.order;
   const bool load = order.kind == Kind::kLoad;
   SetHeld(server.models, order.model, order.adapter, load);
--- a/src/control/placement/placement_state.hpp
+++ b/src/control/placement/placement_state.hpp
@@ -12,6 +12,7 @@
 #include <string>
 #include <vector>
 
+#include "common/time.hpp"
 #include "control/configuration/reader.hpp"
 #include "control/instances/instance_table.hpp"
 #include "messages/instances.hpp"
@@ -36,10 +37,8 @@
   std::vector<HeldModel> models;
 };
 
-class OrderBook {
+class PlacementState {
  public:
-  using Micros = std::int64_t;
-
   // A load, and how long it is expected to take.
   struct Load {
     std::string model;
--- a/src/control/placement/placer.cpp
+++ b/src/control/placement/placer.cpp
@@ -133,7 +133,7 @@
   const bool pays = !place->victim || gain >= kWorthMore * place->victim->cost;
   if (!waited_for && !pays) return false;
   if (!place->warm) loads_left_ -= 1;
-  const OrderBook::Load load{
+  const PlacementState::Load load{
       model.spec->name, {}, model.spec->load_time_s * (place->warm ? kWarmShare : 1.0)};
   if (place->victim) {
     ServiceView::Model& goes = service.models()[place->victim->model];
@@ -158,26 +158,27 @@
     if (best == nullptr || server.state->Adapters() < best->state->Adapters()) best = &server;
   }
   if (best == nullptr || most == 0) return false;
-  const OrderBook::Load load{name, adapter, kAdapterSeconds};
+  const PlacementState::Load load{name, adapter, kAdapterSeconds};
   if (best->state->Adapters() < most && best->free_mb >= model.spec->adapter_mb) {
     orders_.StartLoad(*best->id, load, now);
   } else {
-    const std::optional<OrderBook::Load> oldest = OldestAdapter(service, *best, now);
+    const std::optional<PlacementState::Load> oldest = OldestAdapter(service, *best, now);
     if (!oldest) return false;
     orders_.StartUnload(*best->id, oldest->model, oldest->adapter, load, now);
   }
   return true;
 }
 
-std::optional<OrderBook::Load> Placer::OldestAdapter(const ServiceView& service,
-                                                     const ServiceView::Server& server, Micros now) const {
-  std::optional<OrderBook::Load> oldest;
+std::optional<PlacementState::Load> Placer::OldestAdapter(const ServiceView& service,
+                                                          const ServiceView::Server& server,
+                                                          Micros now) const {
+  std::optional<PlacementState::Load> oldest;
   Micros asked_at = 0;
   for (const HeldModel& held : server.state->models)
     for (const std::string& adapter : held.adapters) {
       const Micros asked = demand_.Get(service.name(), NameOf(held.name, adapter), now).asked_at;
       if (oldest && asked >= asked_at) continue;
-      oldest = OrderBook::Load{held.name, adapter, 0};
+      oldest = PlacementState::Load{held.name, adapter, 0};
       asked_at = asked;
     }
   return oldest;
--- a/src/control/placement/placer.hpp
+++ b/src/control/placement/placer.hpp
@@ -13,6 +13,7 @@
 #include <string>
 #include <vector>
 
+#include "common/time.hpp"
 #include "control/configuration/reader.hpp"
 #include "control/instances/instance_table.hpp"
 #include "control/placement/demand.hpp"
@@ -24,8 +25,6 @@
 
 class Placer {
  public:
-  using Micros = std::int64_t;
-
   void CountDemand(const ModelDemand& demand, Micros now) { demand_.Count(demand, now); }
 
   // This process acts from now on; what another one has ordered lately counts towards the bound on loads.
@@ -62,11 +61,11 @@
   bool PlaceAdapter(ServiceView& service, const ServiceView::Model& model, const std::string& adapter,
                     Micros now);
   // Of a server's adapters, the one that was asked for longest ago.
-  std::optional<OrderBook::Load> OldestAdapter(const ServiceView& service, const ServiceView::Server& server,
-                                               Micros now) const;
+  std::optional<PlacementState::Load> OldestAdapter(const ServiceView& service,
+                                                    const ServiceView::Server& server, Micros now) const;
 
   Demand demand_;
-  OrderBook orders_;
+  PlacementState orders_;
   double loads_left_ = 0;  // of the bound on the weight store
   Micros refilled_at_ = 0;
 };
--- a/src/control/placement/placer_role.hpp
+++ b/src/control/placement/placer_role.hpp
@@ -10,6 +10,7 @@
 #include <string>
 #include <vector>
 
+#include "common/time.hpp"
 #include "control/configuration/state.hpp"
 #include "control/consensus/replica.hpp"
 #include "control/placement/placer.hpp"
@@ -18,7 +19,6 @@
 
 class PlacerRole {
  public:
-  using Micros = consensus::Micros;
   struct Outputs {
     std::function<void(const PlacementCall&, consensus::Term fencing_token)> order;
     std::function<void(const PlacementCall&)> ask_report;
--- a/src/control/placement/service_view.cpp
+++ b/src/control/placement/service_view.cpp
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-ServiceView::ServiceView(const configuration::Backend& backend, const OrderBook& orders, const Demand& demand,
-                         Micros now)
+ServiceView::ServiceView(const configuration::Backend& backend, const PlacementState& orders,
+                         const Demand& demand, Micros now)
     : backend_(backend), now_(now) {
   TakeModels(demand);
   TakeServers(orders);
@@ -45,7 +45,7 @@
   }
 }
 
-void ServiceView::TakeServers(const OrderBook& orders) {
+void ServiceView::TakeServers(const PlacementState& orders) {
   const auto on_its_way = [this](const std::string& name) {
     if (Model* model = Find(name)) ++model->copies;
   };
@@ -65,7 +65,7 @@
     server.free_mb = backend_.runtime->weights_mb - used;
     servers_.push_back(std::move(server));
     if (!state.work) continue;
-    const OrderBook::Work& work = *state.work;
+    const PlacementState::Work& work = *state.work;
     if (work.order.kind == PlacementCall::Kind::kLoad && work.order.adapter.empty())
       on_its_way(work.order.model);
     if (work.then && work.then->adapter.empty()) on_its_way(work.then->model);
--- a/src/control/placement/service_view.hpp
+++ b/src/control/placement/service_view.hpp
@@ -11,6 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
+#include "common/time.hpp"
 #include "control/configuration/reader.hpp"
 #include "control/placement/demand.hpp"
 #include "control/placement/placement_state.hpp"
@@ -19,8 +20,6 @@
 
 class ServiceView {
  public:
-  using Micros = std::int64_t;
-
   struct Model {
     const configuration::Model* spec = nullptr;
     Demand::Of demand;
@@ -29,7 +28,7 @@
   };
   struct Server {
     const std::string* id = nullptr;
-    const OrderBook::Server* state = nullptr;
+    const PlacementState::Server* state = nullptr;
     std::vector<std::size_t> held;  // models, by their place in `models`
     double free_mb = 0;
   };
@@ -40,7 +39,7 @@
     double wait = 0;  // what it costs to wait for the end of its runs, likewise
   };
 
-  ServiceView(const configuration::Backend& backend, const OrderBook& orders, const Demand& demand,
+  ServiceView(const configuration::Backend& backend, const PlacementState& orders, const Demand& demand,
               Micros now);
 
   std::vector<Model>& models() { return models_; }
@@ -67,7 +66,7 @@
 
  private:
   void TakeModels(const Demand& demand);
-  void TakeServers(const OrderBook& orders);
+  void TakeServers(const PlacementState& orders);
   void CountWanted();
   double Busy(const Model& model) const;
 
--- a/src/control/replication/commands.cpp
+++ b/src/control/replication/commands.cpp
@@ -72,22 +72,22 @@
   return configuration::Change{change.patch(), change.base(), std::move(*change.mutable_body())};
 }
 
-std::string Encode(const DepartureCommand& command) {
+std::string Encode(const DeregistrationCommand& command) {
   wire::DepartureCommand out;
   out.set_id(command.id);
-  out.set_phase(command.phase == Phase::kGone ? wire::GONE : wire::DRAINING);
+  out.set_phase(command.phase == Phase::kDeregistered ? wire::GONE : wire::DRAINING);
   return out.SerializeAsString();
 }
 
-std::optional<DepartureCommand> DecodeDepartureCommand(const std::string& bytes) {
+std::optional<DeregistrationCommand> DecodeDepartureCommand(const std::string& bytes) {
   if (IsJson(bytes))
     return FromJson(bytes, [](const json& in) {
-      return DepartureCommand{in.value("id", std::string()), in.value("phase", Phase::kDraining)};
+      return DeregistrationCommand{in.value("id", std::string()), in.value("phase", Phase::kDraining)};
     });
   auto in = wire::Parse<wire::DepartureCommand>(bytes);
   if (!in) return std::nullopt;
-  return DepartureCommand{std::move(*in->mutable_id()),
-                          in->phase() == wire::GONE ? Phase::kGone : Phase::kDraining};
+  return DeregistrationCommand{std::move(*in->mutable_id()),
+                               in->phase() == wire::GONE ? Phase::kDeregistered : Phase::kDraining};
 }
 
 }  // namespace violetwing
--- a/src/control/replication/commands.hpp
+++ b/src/control/replication/commands.hpp
@@ -22,18 +22,18 @@
 struct ReadCommand {};
 using ConfigurationCommand = std::variant<ReadCommand, configuration::Change>;
 
-struct DepartureCommand {
+struct DeregistrationCommand {
   std::string id;  // of the server
   Phase phase = Phase::kDraining;
 };
 
 std::string Encode(const Envelope& envelope);
 std::string Encode(const ConfigurationCommand& command);
-std::string Encode(const DepartureCommand& command);
+std::string Encode(const DeregistrationCommand& command);
 // Empty where the bytes are no such command.
 std::optional<Envelope> DecodeEnvelope(const std::string& bytes);
 std::optional<ConfigurationCommand> DecodeConfigurationCommand(const std::string& bytes);
-std::optional<DepartureCommand> DecodeDepartureCommand(const std::string& bytes);
+std::optional<DeregistrationCommand> DecodeDepartureCommand(const std::string& bytes);
 
 }  // namespace violetwing
 
--- a/src/control/replication/replicated_state_machine.cpp
+++ b/src/control/replication/replicated_state_machine.cpp
@@ -21,23 +21,24 @@
 // And bytes of commands, also of those that changed nothing: what the disk holds of the log.
 constexpr std::size_t kCompactAfterLogged = std::size_t{2} * 1024 * 1024;
 // A command that was not applied by then is offered again: the leader or the way to it may be gone.
-constexpr Group::Micros kOfferAgain = 500'000;
+constexpr Micros kOfferAgain = 500'000;
 
 }  // namespace
 
-Group::Group(int shard, std::string life, consensus::Replica replica, StateMachine& machine, Outputs outputs)
+ReplicatedStateMachine::ReplicatedStateMachine(int shard, std::string incarnation, consensus::Replica replica,
+                                               StateMachine& machine, Outputs outputs)
     : shard_(shard),
-      life_(std::move(life)),
+      incarnation_(std::move(incarnation)),
       replica_(std::move(replica)),
       machine_(machine),
       outputs_(std::move(outputs)) {}
 
-void Group::Step(const consensus::Message& message, Micros now) {
+void ReplicatedStateMachine::Step(const consensus::Message& message, Micros now) {
   replica_.Step(message, now);
   Flush();
 }
 
-void Group::Tick(Micros now) {
+void ReplicatedStateMachine::Tick(Micros now) {
   replica_.Tick(now);
   std::vector<Done> late;
   for (auto it = waiting_.begin(); it != waiting_.end();) {
@@ -53,42 +54,43 @@
   for (const Done& done : late) done(std::nullopt);
 }
 
-void Group::TakeLate(Waiting& waiting, Micros now, std::vector<Done>& late) const {
-  const bool in_touch = replica_.InTouch(now);
+void ReplicatedStateMachine::TakeLate(Waiting& waiting, Micros now, std::vector<Done>& late) const {
+  const bool has_quorum_contact = replica_.HasQuorumContact(now);
   std::erase_if(waiting.callers, [&](Caller& caller) {
-    if (now < (in_touch ? caller.until : caller.least_until)) return false;
+    if (now < (has_quorum_contact ? caller.until : caller.least_until)) return false;
     late.push_back(std::move(caller.done));
     return true;
   });
 }
 
-void Group::TakeForwarded(const std::string& command) {
+void ReplicatedStateMachine::TakeForwarded(const std::string& command) {
   const std::optional<Envelope> envelope = DecodeEnvelope(command);
   if (envelope) Propose(envelope->request, command);
   Flush();
 }
 
-void Group::Propose(const std::string& request, const std::string& command) {
+void ReplicatedStateMachine::Propose(const std::string& request, const std::string& command) {
   if (!replica_.leader()) return;
   if (std::exchange(proposed_in_, replica_.term()) != replica_.term()) proposed_.clear();
   if (proposed_.insert(request).second) replica_.Propose(command);
 }
 
-void Group::Call(const std::string& command, Micros now, Micros within, Done done) {
-  CallOnce(life_ + "/" + std::to_string(++calls_), command, now, {within, within}, std::move(done));
+void ReplicatedStateMachine::Call(const std::string& command, Micros now, Micros within, Done done) {
+  SubmitIdempotent(incarnation_ + "/" + std::to_string(++calls_), command, now, {within, within},
+                   std::move(done));
 }
 
-void Group::CallOnce(const std::string& name, const std::string& command, Micros now, Patience patience,
-                     Done done) {
+void ReplicatedStateMachine::SubmitIdempotent(const std::string& name, const std::string& command, Micros now,
+                                              SubmitTimeouts timeouts, Done done) {
   const auto [it, fresh] = waiting_.try_emplace(name);
   Waiting& waiting = it->second;
   if (fresh) waiting.command = Encode(Envelope{name, command});
-  waiting.callers.push_back({now + patience.least, now + patience.in_touch, std::move(done)});
+  waiting.callers.push_back({now + timeouts.least, now + timeouts.has_quorum_contact, std::move(done)});
   Offer(name, waiting, now);
   Flush();
 }
 
-void Group::Offer(const std::string& request, Waiting& waiting, Micros now) {
+void ReplicatedStateMachine::Offer(const std::string& request, Waiting& waiting, Micros now) {
   const bool new_term = waiting.sent_in != replica_.term();
   if (waiting.sent_at > 0 && !new_term && now - waiting.sent_at < kOfferAgain) return;
   if (replica_.leader()) {
@@ -102,11 +104,11 @@
   waiting.sent_in = replica_.term();
 }
 
-void Group::Send(const std::vector<consensus::Message>& messages) {
+void ReplicatedStateMachine::Send(const std::vector<consensus::Message>& messages) {
   for (const consensus::Message& message : messages) outputs_.send(shard_, message);
 }
 
-void Group::Apply(const consensus::Entry& entry) {
+void ReplicatedStateMachine::Apply(const consensus::Entry& entry) {
   if (entry.kind != EntryKind::kCommand) return;
   logged_since_snapshot_ += entry.command.size();
   const std::optional<Envelope> envelope = DecodeEnvelope(entry.command);
@@ -120,7 +122,7 @@
   for (const Caller& caller : callers) caller.done(result);
 }
 
-void Group::Flush() {
+void ReplicatedStateMachine::Flush() {
   if (std::exchange(flushing_, true)) return;  // a caller's answer may lead to the next call
   bool applied = false;
   while (true) {
@@ -158,19 +160,19 @@
   if (applied) outputs_.applied(shard_);
 }
 
-bool Group::CompactionDue() const {
+bool ReplicatedStateMachine::CompactionDue() const {
   return replica_.entries() > kCompactAfter || machine_.worked() - worked_at_snapshot_ > kCompactAfterBytes ||
          logged_since_snapshot_ > kCompactAfterLogged;
 }
 
-void Group::LogLeadership() {
+void ReplicatedStateMachine::LogLeadership() {
   if (led_ == replica_.leader()) return;
   led_ = replica_.leader();
   spdlog::info("shard {}: this process {} in term {}", shard_, led_ ? "leads" : "leads no more",
                replica_.term());
 }
 
-bool Group::Written(std::uint64_t token) {
+bool ReplicatedStateMachine::Written(std::uint64_t token) {
   const auto it = unwritten_.find(token);
   if (it == unwritten_.end()) return false;
   const Unwritten unwritten = std::move(it->second);
--- a/src/control/replication/replicated_state_machine.hpp
+++ b/src/control/replication/replicated_state_machine.hpp
@@ -10,6 +10,7 @@
 #include <string>
 #include <vector>
 
+#include "common/time.hpp"
 #include "control/consensus/replica.hpp"
 #include "control/storage/store.hpp"
 
@@ -26,9 +27,8 @@
   virtual std::size_t worked() const { return 0; }
 };
 
-class Group {
+class ReplicatedStateMachine {
  public:
-  using Micros = consensus::Micros;
   // Empty: nothing is known of the command by then, and it may yet be applied.
   using Done = std::function<void(const std::optional<std::string>& result)>;
   struct Outputs {
@@ -40,9 +40,10 @@
     std::function<void(int shard)> applied;
   };
 
-  // `life` names one life of this process, unlike any other's: it tells this one's commands from those that
-  // an earlier one left in the log.
-  Group(int shard, std::string life, consensus::Replica replica, StateMachine& machine, Outputs outputs);
+  // `incarnation` names one incarnation of this process, unlike any other's: it tells this one's commands
+  // from those that an earlier one left in the log.
+  ReplicatedStateMachine(int shard, std::string incarnation, consensus::Replica replica,
+                         StateMachine& machine, Outputs outputs);
 
   // Loads what was stored.
   void Start() { Flush(); }
@@ -53,14 +54,14 @@
   // The command's answer once it is committed and applied here. It may be applied more than once.
   void Call(const std::string& command, Micros now, Micros within, Done done);
   // How long a caller waits: in any case, and as long as this replica is in touch with a quorum.
-  struct Patience {
+  struct SubmitTimeouts {
     Micros least = 0;
-    Micros in_touch = 0;
+    Micros has_quorum_contact = 0;
   };
   // The same for a command whose answer does not depend on who calls: `name` is the command's own. Calls of
   // the same name that are under way at any process are one command in the log, and share its answer.
-  void CallOnce(const std::string& name, const std::string& command, Micros now, Patience patience,
-                Done done);
+  void SubmitIdempotent(const std::string& name, const std::string& command, Micros now,
+                        SubmitTimeouts timeouts, Done done);
   // The write of this token is on disk. False if it is not this group's.
   bool Written(std::uint64_t token);
 
@@ -99,7 +100,7 @@
   void TakeLate(Waiting& waiting, Micros now, std::vector<Done>& late) const;
 
   const int shard_;
-  const std::string life_;
+  const std::string incarnation_;
   consensus::Replica replica_;
   StateMachine& machine_;
   Outputs outputs_;
--- a/src/control/replication/shards.cpp
+++ b/src/control/replication/shards.cpp
@@ -16,10 +16,10 @@
 // One shard for the configuration, and some for the services.
 constexpr int kServiceShards = 2;
 // Callers go elsewhere after a second without an answer.
-constexpr Shards::Micros kCallWithin = 900'000;
+constexpr Micros kCallWithin = 900'000;
 // For large bodies they wait longer: while a quorum is there, a large change is on its way. One that goes
 // elsewhere sooner joins the same change there.
-constexpr Shards::Micros kChangeWithin = 2'500'000;
+constexpr Micros kChangeWithin = 2'500'000;
 constexpr const char* kFounderPrefix = "founder/";
 
 }  // namespace
@@ -49,12 +49,12 @@
 };
 
 // Commands of a shard of services: a server leaves.
-class Shards::DeparturesMachine : public StateMachine {
+class Shards::DeregistrationsMachine : public StateMachine {
  public:
-  DeparturesMachine(Departures& state, const Outputs& outputs) : state_(state), outputs_(outputs) {}
+  DeregistrationsMachine(Deregistrations& state, const Outputs& outputs) : state_(state), outputs_(outputs) {}
 
   std::string Apply(const std::string& command) override {
-    const std::optional<DepartureCommand> in = DecodeDepartureCommand(command);
+    const std::optional<DeregistrationCommand> in = DecodeDepartureCommand(command);
     if (!in) return {};
     state_.Apply(in->id, in->phase);
     outputs_.left(in->id, in->phase);
@@ -67,30 +67,31 @@
   }
 
  private:
-  Departures& state_;
+  Deregistrations& state_;
   const Outputs& outputs_;
 };
 
-Shards::Shards(Stored stored, const consensus::Members& founders, const std::string& life, Outputs outputs,
-               Micros now)
-    : disk_(std::move(stored.disk)), outputs_(std::move(outputs)), departures_(kServiceShards + 1) {
+Shards::Shards(Stored stored, const consensus::Members& founders, const std::string& incarnation,
+               Outputs outputs, Micros now)
+    : disk_(std::move(stored.disk)), outputs_(std::move(outputs)), deregistrations_(kServiceShards + 1) {
   for (int shard = 0; shard <= kServiceShards; ++shard) {
     if (shard == 0)
       machines_.push_back(std::make_unique<ConfigurationMachine>(configuration_));
     else
-      machines_.push_back(
-          std::make_unique<DeparturesMachine>(departures_[static_cast<std::size_t>(shard)], outputs_));
-    const std::uint64_t seed = XXH64(life.data(), life.size(), static_cast<std::uint64_t>(shard));
+      machines_.push_back(std::make_unique<DeregistrationsMachine>(
+          deregistrations_[static_cast<std::size_t>(shard)], outputs_));
+    const std::uint64_t seed =
+        XXH64(incarnation.data(), incarnation.size(), static_cast<std::uint64_t>(shard));
     consensus::Timing timing;
     timing.start_first = static_cast<std::size_t>(shard);
-    MakeGroup(shard, life, *machines_.back(),
-              consensus::Replica(disk_, founders, std::move(stored.shards[shard]), timing, seed, now));
+    MakeReplica(shard, incarnation, *machines_.back(),
+                consensus::Replica(disk_, founders, std::move(stored.shards[shard]), timing, seed, now));
   }
 }
 
-void Shards::MakeGroup(int shard, const std::string& life, StateMachine& machine,
-                       consensus::Replica replica) {
-  Group::Outputs outputs;
+void Shards::MakeReplica(int shard, const std::string& incarnation, StateMachine& machine,
+                         consensus::Replica replica) {
+  ReplicatedStateMachine::Outputs outputs;
   outputs.send = [this](int at, const consensus::Message& message) {
     const std::string address = AddressOf(at, message.to);
     if (!address.empty()) outputs_.send(address, {at, message});
@@ -106,22 +107,23 @@
   outputs.writes_wait = [this] { return !writes_.empty(); };
   outputs.next_token = [this] { return ++token_; };
   outputs.applied = [this](int at) { outputs_.applied(at); };
-  groups_.push_back(std::make_unique<Group>(shard, life, std::move(replica), machine, std::move(outputs)));
+  groups_.push_back(std::make_unique<ReplicatedStateMachine>(shard, incarnation, std::move(replica), machine,
+                                                             std::move(outputs)));
 }
 
-Group* Shards::Find(int shard) const {
+ReplicatedStateMachine* Shards::Find(int shard) const {
   const auto at = static_cast<std::size_t>(shard);
   return shard >= 0 && at < groups_.size() ? groups_[at].get() : nullptr;
 }
 
-Group& Shards::OfService(const std::string& service) const {
+ReplicatedStateMachine& Shards::OfService(const std::string& service) const {
   return *groups_[1 + XXH64(service.data(), service.size(), 0) % kServiceShards];
 }
 
 std::string Shards::AddressOf(int shard, const consensus::ReplicaId& id) const {
   const auto met = addresses_.find(id);
   if (met != addresses_.end()) return met->second;
-  const Group* group = Find(shard);
+  const ReplicatedStateMachine* group = Find(shard);
   if (group == nullptr) return {};  // its replica is only being made
   for (const consensus::Member& member : group->replica().members())
     if (member.id == id) return member.address;
@@ -142,21 +144,21 @@
 void Shards::Written(std::uint64_t token) {
   const auto write = writes_.find(token);
   if (write == writes_.end()) return;
-  Group* const group = write->second;
+  ReplicatedStateMachine* const group = write->second;
   writes_.erase(write);
   group->Written(token);
 }
 
 void Shards::Step(const ShardMessage& message, Micros now) {
-  if (Group* group = Find(message.shard)) group->Step(message.message, now);
+  if (ReplicatedStateMachine* group = Find(message.shard)) group->Step(message.message, now);
 }
 
 void Shards::TakeForwarded(const ShardProposal& proposal) {
-  if (Group* group = Find(proposal.shard)) group->TakeForwarded(proposal.command);
+  if (ReplicatedStateMachine* group = Find(proposal.shard)) group->TakeForwarded(proposal.command);
 }
 
 void Shards::Join(int shard, const consensus::Member& learner, Micros now) {
-  if (Group* group = Find(shard)) group->replica().AddLearner(learner, now);
+  if (ReplicatedStateMachine* group = Find(shard)) group->replica().AddLearner(learner, now);
 }
 
 std::vector<int> Shards::Joins(Micros now) const {
@@ -186,15 +188,15 @@
 
 void Shards::Change(const configuration::Change& change, Micros now,
                     std::function<void(const std::optional<configuration::Answer>&)> done) {
-  groups_.front()->CallOnce("change/" + configuration::DigestOf(change), Encode(ConfigurationCommand(change)),
-                            now, {kCallWithin, kChangeWithin},
-                            [done = std::move(done)](const std::optional<std::string>& result) {
-                              if (!result) return done(std::nullopt);
-                              const json out = json::parse(*result);
-                              done(configuration::Answer{out.at("outcome").get<configuration::Outcome>(),
-                                                         out.at("version").get<std::int64_t>(),
-                                                         out.at("problem").get<std::string>()});
-                            });
+  groups_.front()->SubmitIdempotent(
+      "change/" + configuration::DigestOf(change), Encode(ConfigurationCommand(change)), now,
+      {kCallWithin, kChangeWithin}, [done = std::move(done)](const std::optional<std::string>& result) {
+        if (!result) return done(std::nullopt);
+        const json out = json::parse(*result);
+        done(configuration::Answer{out.at("outcome").get<configuration::Outcome>(),
+                                   out.at("version").get<std::int64_t>(),
+                                   out.at("problem").get<std::string>()});
+      });
 }
 
 void Shards::Read(Micros now, std::function<void(bool current)> done) {
@@ -206,12 +208,12 @@
 void Shards::Leave(const std::string& service, const std::string& id, Phase phase, Micros now,
                    std::function<void(bool taken)> done) {
   OfService(service).Call(
-      Encode(DepartureCommand{id, phase}), now, kCallWithin,
+      Encode(DeregistrationCommand{id, phase}), now, kCallWithin,
       [done = std::move(done)](const std::optional<std::string>& result) { done(result.has_value()); });
 }
 
-std::optional<Phase> Shards::Departed(const std::string& id) const {
-  for (const Departures& shard : departures_)
+std::optional<Phase> Shards::Deregistered(const std::string& id) const {
+  for (const Deregistrations& shard : deregistrations_)
     if (const auto phase = shard.Find(id)) return phase;
   return std::nullopt;
 }
--- a/src/control/replication/shards.hpp
+++ b/src/control/replication/shards.hpp
@@ -12,6 +12,7 @@
 #include <string>
 #include <vector>
 
+#include "common/time.hpp"
 #include "control/configuration/state.hpp"
 #include "control/consensus/membership.hpp"
 #include "control/instances/departures.hpp"
@@ -26,7 +27,6 @@
 
 class Shards {
  public:
-  using Micros = consensus::Micros;
   struct Outputs {
     std::function<void(const std::string& address, ShardMessage)> send;
     std::function<void(const std::string& address, ShardProposal)> propose;
@@ -40,8 +40,8 @@
     std::map<int, consensus::StoredState> shards;
   };
 
-  // `life` differs between the lives of all processes; it seeds what is drawn.
-  Shards(Stored stored, const consensus::Members& founders, const std::string& life, Outputs outputs,
+  // `incarnation` differs between the incarnations of all processes; it seeds what is drawn.
+  Shards(Stored stored, const consensus::Members& founders, const std::string& incarnation, Outputs outputs,
          Micros now);
 
   void Tick(Micros now);
@@ -67,7 +67,7 @@
   void Leave(const std::string& service, const std::string& id, Phase phase, Micros now,
              std::function<void(bool taken)> done);
 
-  std::optional<Phase> Departed(const std::string& id) const;
+  std::optional<Phase> Deregistered(const std::string& id) const;
   const configuration::State& configuration() const { return configuration_; }
   // The replica whose leader places models.
   const consensus::Replica& configuration_replica() const { return groups_.front()->replica(); }
@@ -77,22 +77,23 @@
 
  private:
   class ConfigurationMachine;
-  class DeparturesMachine;
+  class DeregistrationsMachine;
 
-  void MakeGroup(int shard, const std::string& life, StateMachine& machine, consensus::Replica replica);
-  Group* Find(int shard) const;  // null if there is none
-  Group& OfService(const std::string& service) const;
+  void MakeReplica(int shard, const std::string& incarnation, StateMachine& machine,
+                   consensus::Replica replica);
+  ReplicatedStateMachine* Find(int shard) const;  // null if there is none
+  ReplicatedStateMachine& OfService(const std::string& service) const;
   std::string AddressOf(int shard, const consensus::ReplicaId& id) const;
 
   const std::string disk_;
   const Outputs outputs_;
   configuration::State configuration_;
-  std::vector<Departures> departures_;  // by shard, the first unused
+  std::vector<Deregistrations> deregistrations_;  // by shard, the first unused
   std::vector<std::unique_ptr<StateMachine>> machines_;
-  std::vector<std::unique_ptr<Group>> groups_;
+  std::vector<std::unique_ptr<ReplicatedStateMachine>> groups_;
   std::map<consensus::ReplicaId, std::string> addresses_;
-  std::uint64_t token_ = 0;                 // of the last write
-  std::map<std::uint64_t, Group*> writes_;  // that the disk owes
+  std::uint64_t token_ = 0;                                  // of the last write
+  std::map<std::uint64_t, ReplicatedStateMachine*> writes_;  // that the disk owes
 };
 
 }  // namespace violetwing
--- a/src/dataplane/control_client/control_link.cpp
+++ b/src/dataplane/control_client/control_link.cpp
@@ -57,12 +57,12 @@
 void ControlLink::Pull() {
   if (stopped_) return;
   const auto endpoint = ParseEndpoint(choice_.Current(view_.controls()));
-  if (!endpoint) return OnPulled(0, {});
-  pulls_.Post(*endpoint, kPullPath, Encode(view_.NextPull(kWaitMs, TakeDemand())),
-              [this](int status, const std::string& body) { OnPulled(status, body); });
+  if (!endpoint) return OnWatched(0, {});
+  pulls_.Post(*endpoint, kWatchPath, Encode(view_.NextPull(kWaitMs, TakeDemand())),
+              [this](int status, const std::string& body) { OnWatched(status, body); });
 }
 
-void ControlLink::OnPulled(int status, const std::string& body) {
+void ControlLink::OnWatched(int status, const std::string& body) {
   if (stopped_) return;
   if (status == 200 && Take(body)) {
     choice_.OnAnswered(view_.controls(), SteadyMicros());
@@ -77,7 +77,7 @@
 }
 
 bool ControlLink::Take(const std::string& body) {
-  const auto reply = Decode<PullReply>(body);
+  const auto reply = Decode<WatchReply>(body);
   if (!reply) {
     spdlog::warn("the answer of {} cannot be read", choice_.Current(view_.controls()));
     return false;
--- a/src/dataplane/control_client/control_link.hpp
+++ b/src/dataplane/control_client/control_link.hpp
@@ -39,7 +39,7 @@
 
  private:
   void Pull();
-  void OnPulled(int status, const std::string& body);
+  void OnWatched(int status, const std::string& body);
   bool Take(const std::string& body);
   std::vector<ModelDemand> TakeDemand();
   void SendDemand();
@@ -55,7 +55,7 @@
   bool stopped_ = false;
 
   SystemView view_;
-  ControlChoice choice_;
+  ControlProcessSelector choice_;
   std::map<std::pair<std::string, std::string>, ModelDemand> demand_;
 };
 
--- a/src/dataplane/control_client/control_process_selector.cpp
+++ b/src/dataplane/control_client/control_process_selector.cpp
@@ -6,28 +6,28 @@
 namespace {
 
 // After a failure the own zone's control process is not asked again for so long.
-constexpr ControlChoice::Micros kComeBackAfter = 5'000'000;
+constexpr Micros kComeBackAfter = 5'000'000;
 
 }  // namespace
 
-const std::string& ControlChoice::Current(const std::vector<ControlNode>& known) {
+const std::string& ControlProcessSelector::Current(const std::vector<ControlNode>& known) {
   if (current_.empty()) Pick(known);
   return current_;
 }
 
-std::vector<std::string> ControlChoice::OwnZone(const std::vector<ControlNode>& known) const {
+std::vector<std::string> ControlProcessSelector::OwnZone(const std::vector<ControlNode>& known) const {
   std::vector<std::string> out;
   for (const ControlNode& node : known)
     if (node.zone == zone_) out.push_back(node.address);
   return out;
 }
 
-void ControlChoice::Sort(std::vector<std::string>& addresses) const {
+void ControlProcessSelector::Sort(std::vector<std::string>& addresses) const {
   std::sort(addresses.begin(), addresses.end(),
             [this](const std::string& a, const std::string& b) { return Hash(order_, a) < Hash(order_, b); });
 }
 
-void ControlChoice::OnAnswered(const std::vector<ControlNode>& known, Micros now) {
+void ControlProcessSelector::OnAnswered(const std::vector<ControlNode>& known, Micros now) {
   failed_.clear();
   const bool lately = failed_at_ > 0 && now - failed_at_ < kComeBackAfter;
   const std::vector<std::string> own = OwnZone(known);
@@ -35,14 +35,14 @@
   if (!lately && !own.empty() && (from_seeds_ || !in_own)) Pick(known);
 }
 
-void ControlChoice::OnFailed(const std::vector<ControlNode>& known, Micros now) {
+void ControlProcessSelector::OnFailed(const std::vector<ControlNode>& known, Micros now) {
   failed_at_ = now;
   if (!current_.empty()) failed_.push_back(current_);
   Pick(known);
 }
 
 // Those of the own zone first, then the others that are known, then the seeds.
-std::vector<std::string> ControlChoice::Candidates(const std::vector<ControlNode>& known) const {
+std::vector<std::string> ControlProcessSelector::Candidates(const std::vector<ControlNode>& known) const {
   std::vector<std::string> out = OwnZone(known);
   Sort(out);
   const auto missing = [&](const std::string& address) {
@@ -58,7 +58,7 @@
   return out;
 }
 
-void ControlChoice::Pick(const std::vector<ControlNode>& known) {
+void ControlProcessSelector::Pick(const std::vector<ControlNode>& known) {
   const std::vector<std::string> candidates = Candidates(known);
   std::vector<std::string> untried;
   for (const std::string& address : candidates)
--- a/src/dataplane/control_client/control_process_selector.hpp
+++ b/src/dataplane/control_client/control_process_selector.hpp
@@ -11,16 +11,15 @@
 #include <vector>
 
 #include "common/random.hpp"
+#include "common/time.hpp"
 #include "messages/peer.hpp"
 
 namespace violetwing {
 
-class ControlChoice {
+class ControlProcessSelector {
  public:
-  using Micros = std::int64_t;
-
   // `name` draws the sidecars apart.
-  ControlChoice(std::string zone, const std::string& name)
+  ControlProcessSelector(std::string zone, const std::string& name)
       : zone_(std::move(zone)), order_(Hash(0, name)), random_(1, name) {}
 
   // Internal addresses of the seeds, in the order of the settings.
--- a/src/dataplane/control_client/system_view.cpp
+++ b/src/dataplane/control_client/system_view.cpp
@@ -7,8 +7,8 @@
 #include <utility>
 
 namespace violetwing {
-PullRequest SystemView::NextPull(int wait_ms, std::vector<ModelDemand> demand) const {
-  PullRequest request;
+WatchRequest SystemView::NextPull(int wait_ms, std::vector<ModelDemand> demand) const {
+  WatchRequest request;
   request.node = node_;
   request.address = address_;
   request.neighbors_hash = neighbors_.hash;
@@ -21,7 +21,7 @@
   return request;
 }
 
-bool SystemView::Take(const PullReply& reply) {
+bool SystemView::Take(const WatchReply& reply) {
   const bool moved = reply.number != number_ || reply.sidecars != sidecars_;
   const bool configured = TakeConfiguration(reply);
   const bool listed = TakeInstances(reply);
@@ -34,7 +34,7 @@
   return moved || configured || listed || met;
 }
 
-bool SystemView::TakeConfiguration(const PullReply& reply) {
+bool SystemView::TakeConfiguration(const WatchReply& reply) {
   if (reply.configuration <= version()) return false;
   if (reply.document.empty() && reply.patches.empty()) return false;
   std::optional<configuration::ReadResult> read = ReadConfiguration(reply);
@@ -52,7 +52,7 @@
 }
 
 // Nothing where patches do not lead from the version held to the answer's.
-std::optional<configuration::ReadResult> SystemView::ReadConfiguration(const PullReply& reply) const {
+std::optional<configuration::ReadResult> SystemView::ReadConfiguration(const WatchReply& reply) const {
   if (reply.patches.empty()) return configuration::Read(reply.document);
   if (message_ == nullptr) return std::nullopt;
   std::vector<nlohmann::ordered_json> patches;
@@ -64,7 +64,7 @@
   return fits ? std::move(read) : std::nullopt;
 }
 
-bool SystemView::TakeInstances(const PullReply& reply) {
+bool SystemView::TakeInstances(const WatchReply& reply) {
   if (reply.whole) {
     Replace(reply);
     return true;
@@ -75,7 +75,7 @@
 }
 
 // What another control process had told goes, but that a server leaves: this one may hear of it later.
-void SystemView::Replace(const PullReply& reply) {
+void SystemView::Replace(const WatchReply& reply) {
   const std::map<std::string, Instance> before = std::exchange(instances_, {});
   for (const Instance& instance : reply.changed) {
     const auto known = before.find(instance.id);
@@ -90,7 +90,7 @@
 void SystemView::Merge(const Instance& instance) {
   const auto it = instances_.find(instance.id);
   if (it == instances_.end()) {
-    if (instance.phase != Phase::kGone) instances_[instance.id] = instance;
+    if (instance.phase != Phase::kDeregistered) instances_[instance.id] = instance;
     return;
   }
   Instance& known = it->second;
--- a/src/dataplane/control_client/system_view.hpp
+++ b/src/dataplane/control_client/system_view.hpp
@@ -22,9 +22,9 @@
       : node_(std::move(node)), address_(std::move(address)) {}
 
   // A pull that asks for what is missing here.
-  PullRequest NextPull(int wait_ms, std::vector<ModelDemand> demand) const;
+  WatchRequest NextPull(int wait_ms, std::vector<ModelDemand> demand) const;
   // Takes an answer in. True if what requests go by has changed.
-  bool Take(const PullReply& reply);
+  bool Take(const WatchReply& reply);
   // What requests go by, as it stands now.
   DirectoryPtr MakeDirectory() const;
 
@@ -34,15 +34,15 @@
   const std::vector<std::string>& neighbors() const { return neighbors_.addresses; }
 
  private:
-  bool TakeConfiguration(const PullReply& reply);
-  std::optional<configuration::ReadResult> ReadConfiguration(const PullReply& reply) const;
-  bool TakeInstances(const PullReply& reply);
-  void Replace(const PullReply& reply);
+  bool TakeConfiguration(const WatchReply& reply);
+  std::optional<configuration::ReadResult> ReadConfiguration(const WatchReply& reply) const;
+  bool TakeInstances(const WatchReply& reply);
+  void Replace(const WatchReply& reply);
   void Merge(const Instance& instance);
 
   const std::string node_;
   const std::string address_;
-  std::string source_;  // the life of the control process whose whole list is held
+  std::string source_;  // the incarnation of the control process whose whole list is held
   VersionVector known_;
   std::shared_ptr<const configuration::Configuration> configuration_;
   std::shared_ptr<const proto::Configuration> message_;  // that it was read from: what patches are applied to
--- a/src/dataplane/edge_service.cpp
+++ b/src/dataplane/edge_service.cpp
@@ -31,7 +31,7 @@
       plane_{
           io,
           std::make_shared<const Directory>(),
-          Chooser(Seed()),
+          LoadBalancer(Seed()),
           RetryBudget(settings_.retry_ratio, settings_.retry_slack, settings_.retry_window_s, SteadyMicros()),
           UpstreamPool(io),
           Random(Seed()),
@@ -39,16 +39,17 @@
           {}},
       ingress_(io,
                [this](const ClientPtr& client, ClientRequest request) {
-                 std::make_shared<Forwarder>(plane_, client, std::move(request))->Start();
+                 std::make_shared<RequestRouter>(plane_, client, std::move(request))->Start();
                }),
       readiness_(io, [this](const ClientPtr& client,
                             const ClientRequest& request) { OnReadiness(client, request); }),
-      gossip_(io, settings_.node_name, plane_.chooser),
+      gossip_(io, settings_.node_name, plane_.load_balancer),
       link_(io, settings_, [this](DirectoryPtr directory) { OnDirectory(std::move(directory)); }),
       tick_(io),
       stop_(io) {
   plane_.link = &link_;
-  plane_.chooser.SetNear(settings_.zone, [this](const std::string& id) { return plane_.pool.HasIdle(id); });
+  plane_.load_balancer.SetNear(settings_.zone,
+                               [this](const std::string& id) { return plane_.pool.HasIdle(id); });
 }
 
 std::error_code EdgeService::Start(std::string& problem) {
@@ -72,7 +73,7 @@
   ingress_.SetLimits(plane_.directory->limits());
   gossip_.SetNeighbors(link_.neighbors());
   const double told_by = static_cast<double>(std::max<std::size_t>(link_.neighbors().size(), 1));
-  plane_.chooser.SetReportWeight(std::max(1.0, (plane_.directory->sidecars() - 1) / told_by));
+  plane_.load_balancer.SetReportWeight(std::max(1.0, (plane_.directory->sidecars() - 1) / told_by));
   const auto waiting = plane_.waiting;
   for (const auto& forwarder : waiting) forwarder->OnDirectory();
 }
@@ -86,10 +87,10 @@
 }
 
 void EdgeService::Tick() {
-  plane_.chooser.Keep(*plane_.directory, SteadyMicros());
+  plane_.load_balancer.Keep(*plane_.directory, SteadyMicros());
   plane_.pool.Keep([this](const std::string& id) {
     const Instance* instance = plane_.directory->Find(id);
-    return instance != nullptr && instance->phase != Phase::kGone;
+    return instance != nullptr && instance->phase != Phase::kDeregistered;
   });
   for (const auto& forwarder : plane_.waiting) forwarder->TellWaiting();
   tick_.expires_after(kTick);
--- a/src/dataplane/edge_service.hpp
+++ b/src/dataplane/edge_service.hpp
@@ -37,7 +37,7 @@
   DataPlane plane_;
   Ingress ingress_;
   Ingress readiness_;
-  LoadGossip gossip_;
+  LoadReportExchange gossip_;
   ControlLink link_;
   boost::asio::steady_timer tick_;
   boost::asio::steady_timer stop_;
--- a/src/dataplane/load_balancing/load_balancer.cpp
+++ b/src/dataplane/load_balancing/load_balancer.cpp
@@ -13,16 +13,16 @@
 constexpr int kDraws = 8;
 // After so many failures in a row a server is ejected, first for so long, then twice that and so on.
 constexpr int kFailuresToEject = 3;
-constexpr Chooser::Micros kEjectBase = 500'000;
-constexpr Chooser::Micros kEjectMost = 8'000'000;
+constexpr Micros kEjectBase = 500'000;
+constexpr Micros kEjectMost = 8'000'000;
 // A server that said that it is full is passed over for so long, if another one is there.
-constexpr Chooser::Micros kFullFor = 150'000;
+constexpr Micros kFullFor = 150'000;
 // One that did not hold what was asked of it is not asked for that again for so long.
-constexpr Chooser::Micros kLacksFor = 1'500'000;
+constexpr Micros kLacksFor = 1'500'000;
 // What a server told of its load is worth half after so long.
 constexpr double kLoadHalfLife = 300'000;
 // A server that has answered nothing for so long is the last to be taken.
-constexpr Chooser::Micros kSilentFor = 700'000;
+constexpr Micros kSilentFor = 700'000;
 // Time that a token takes to be read by a model of which nothing is known, in ms: that of a slow one.
 constexpr double kUnknownReadMs = 0.034;
 // What a request that runs adds to the time in which a prompt is read, and one that waits for a place, in ms.
@@ -57,8 +57,8 @@
 // No prompt takes longer to be read; what tells of one is not believed.
 constexpr double kMostReadMs = 60'000;
 
-std::string WeightsKey(const Chooser::Wish& wish) {
-  return wish.adapter.empty() ? wish.model : wish.model + "/" + wish.adapter;
+std::string WeightsKey(const LoadBalancer::RequestAttributes& attributes) {
+  return attributes.adapter.empty() ? attributes.model : attributes.model + "/" + attributes.adapter;
 }
 
 }  // namespace
@@ -68,17 +68,17 @@
   return static_cast<std::size_t>(number) * ring / static_cast<std::size_t>(sidecars) % ring;
 }
 
-bool Chooser::Usable(const Server& server, const Wish& wish, Micros now) const {
+bool LoadBalancer::Usable(const Server& server, const RequestAttributes& attributes, Micros now) const {
   if (now < server.ejected_until) return false;
-  const auto lacks = server.lacks_until.find(WeightsKey(wish));
+  const auto lacks = server.lacks_until.find(WeightsKey(attributes));
   return lacks == server.lacks_until.end() || now >= lacks->second;
 }
 
-std::vector<const Instance*> Chooser::Homes(const std::vector<const Instance*>& candidates,
-                                            const Wish& wish) {
-  if (wish.parts == nullptr || wish.parts->size() < 2) return {};
-  std::string key = WeightsKey(wish);
-  for (std::size_t i = 0; i + 1 < wish.parts->size(); ++i) key += "," + (*wish.parts)[i].id;
+std::vector<const Instance*> LoadBalancer::Homes(const std::vector<const Instance*>& candidates,
+                                                 const RequestAttributes& attributes) {
+  if (attributes.parts == nullptr || attributes.parts->size() < 2) return {};
+  std::string key = WeightsKey(attributes);
+  for (std::size_t i = 0; i + 1 < attributes.parts->size(); ++i) key += "," + (*attributes.parts)[i].id;
   const std::uint64_t seed = Hash(0, key);
   std::vector<std::pair<std::uint64_t, const Instance*>> ranked;
   ranked.reserve(candidates.size());
@@ -90,22 +90,23 @@
   return homes;
 }
 
-double Chooser::MsPerToken(const std::string& model) const {
+double LoadBalancer::MsPerToken(const std::string& model) const {
   const auto it = speeds_.find(model);
   return it == speeds_.end() ? kUnknownReadMs : it->second.ms / it->second.tokens;
 }
 
-double Chooser::Faded(const Server& server, int told, Micros now) {
+double LoadBalancer::Faded(const Server& server, int told, Micros now) {
   if (server.load_at == 0 || told <= 0) return 0;
   return told * std::exp2(-static_cast<double>(now - server.load_at) / kLoadHalfLife);
 }
 
-double Chooser::ReadCost(const Server& server, const Instance& instance, const Wish& wish, bool home,
-                         Micros now) const {
+double LoadBalancer::ReadCost(const Server& server, const Instance& instance,
+                              const RequestAttributes& attributes, bool home, Micros now) const {
   const double told = Faded(server, server.load.running - server.in_flight, now);
-  double cached = server.cache.CachedTokens(WeightsKey(wish), *wish.parts);
-  if (home) cached = std::max(cached, kHomeShare * (wish.tokens - wish.parts->back().tokens));
-  double cost = backlog_.WaitMs(instance.id, now) + (wish.tokens - cached) * MsPerToken(wish.model);
+  double cached = server.cache.CachedTokens(WeightsKey(attributes), *attributes.parts);
+  if (home) cached = std::max(cached, kHomeShare * (attributes.tokens - attributes.parts->back().tokens));
+  double cost =
+      prefill_queue_.WaitMs(instance.id, now) + (attributes.tokens - cached) * MsPerToken(attributes.model);
   cost += kRunningMs * (server.in_flight + told);
   cost += kWaitingMs * Faded(server, server.load.waiting, now);
   if (!Connected(instance)) cost += kNewConnectionMs;
@@ -115,9 +116,10 @@
   return cost;
 }
 
-double Chooser::Cost(const Server& server, const Instance& instance, const Wish& wish, bool home,
-                     Micros now) const {
-  if (wish.parts != nullptr && !wish.parts->empty()) return ReadCost(server, instance, wish, home, now);
+double LoadBalancer::Cost(const Server& server, const Instance& instance, const RequestAttributes& attributes,
+                          bool home, Micros now) const {
+  if (attributes.parts != nullptr && !attributes.parts->empty())
+    return ReadCost(server, instance, attributes, home, now);
   const int others = server.load.running + 2 * server.load.waiting - server.in_flight;
   double cost = server.in_flight + Faded(server, others, now);
   cost *= 8.0 / std::max(1, std::min(instance.capacity, 8));  // a place of a small server weighs more
@@ -127,29 +129,31 @@
   return cost;
 }
 
-const Instance* Chooser::Choose(const std::vector<const Instance*>& candidates, const Directory& directory,
-                                const Wish& wish, Micros now) {
+const Instance* LoadBalancer::Choose(const std::vector<const Instance*>& candidates,
+                                     const Directory& directory, const RequestAttributes& attributes,
+                                     Micros now) {
   const std::size_t ring = candidates.size();
   if (ring == 0) return nullptr;
   const std::size_t width = std::min(ring, kWindow);
   const std::size_t offset = WindowOffset(directory.number(), directory.sidecars(), ring);
   const auto at = [&](std::size_t i) { return candidates[(offset + i) % ring]; };
   const auto usable = [&](const Instance& instance) {
-    if (std::find(wish.tried.begin(), wish.tried.end(), instance.id) != wish.tried.end()) return false;
-    return Usable(servers_[instance.id], wish, now);
+    if (std::find(attributes.tried.begin(), attributes.tried.end(), instance.id) != attributes.tried.end())
+      return false;
+    return Usable(servers_[instance.id], attributes, now);
   };
   const Instance* best = nullptr;
   double least = 0;
-  const std::vector<const Instance*> homes = Homes(candidates, wish);
+  const std::vector<const Instance*> homes = Homes(candidates, attributes);
   const auto weigh = [&](const Instance* instance) {
     const bool home = std::find(homes.begin(), homes.end(), instance) != homes.end();
-    const double cost = Cost(servers_[instance->id], *instance, wish, home, now);
+    const double cost = Cost(servers_[instance->id], *instance, attributes, home, now);
     if (best != nullptr && cost >= least) return;
     best = instance;
     least = cost;
   };
   // Prompts whose parts are kept somewhere in the window go by that; all others by two random draws.
-  if (wish.parts != nullptr && !wish.parts->empty()) {
+  if (attributes.parts != nullptr && !attributes.parts->empty()) {
     for (std::size_t i = 0; i < width; ++i)
       if (usable(*at(i))) weigh(at(i));
     for (const Instance* instance : homes)
@@ -170,57 +174,60 @@
   if (best != nullptr) return best;
   for (std::size_t i = 0; i < ring; ++i) {
     const Instance* instance = at(i);
-    const bool tried = std::find(wish.tried.begin(), wish.tried.end(), instance->id) != wish.tried.end();
+    const bool tried =
+        std::find(attributes.tried.begin(), attributes.tried.end(), instance->id) != attributes.tried.end();
     const Server& server = servers_[instance->id];
-    if (!tried && server.lacks_until.count(WeightsKey(wish)) == 0) weigh(instance);
+    if (!tried && server.lacks_until.count(WeightsKey(attributes)) == 0) weigh(instance);
   }
   return best;
 }
 
-void Chooser::OnSent(const std::string& id, Wish& wish, Micros now) {
+void LoadBalancer::OnSent(const std::string& id, RequestAttributes& attributes, Micros now) {
   Server& server = servers_[id];
   ++server.in_flight;
   if (server.silent++ == 0) server.silent_since = now;
-  wish.sent_at = now;
-  if (wish.parts == nullptr) return;
-  const std::string weights = WeightsKey(wish);
-  wish.unread_tokens = std::max(0.0, wish.tokens - server.cache.CachedTokens(weights, *wish.parts));
-  wish.unread_ms = wish.unread_tokens * MsPerToken(wish.model);
-  wish.before_ms = backlog_.WaitMs(id, now);
-  backlog_.OnSent(id, wish.unread_ms, now);
-  server.cache.Insert(weights, *wish.parts, kCacheTokens);
+  attributes.sent_at = now;
+  if (attributes.parts == nullptr) return;
+  const std::string weights = WeightsKey(attributes);
+  attributes.unread_tokens =
+      std::max(0.0, attributes.tokens - server.cache.CachedTokens(weights, *attributes.parts));
+  attributes.unread_ms = attributes.unread_tokens * MsPerToken(attributes.model);
+  attributes.before_ms = prefill_queue_.WaitMs(id, now);
+  prefill_queue_.OnSent(id, attributes.unread_ms, now);
+  server.cache.Insert(weights, *attributes.parts, kCacheTokens);
   if (!on_news_ || prompts_.size() >= kMostPrompts) return;
-  prompts_.push_back({id, weights, ToText(*wish.parts), std::round(wish.unread_ms)});
-  on_news_(wish.unread_ms >= kHeavyMs);
+  prompts_.push_back({id, weights, ToText(*attributes.parts), std::round(attributes.unread_ms)});
+  on_news_(attributes.unread_ms >= kHeavyMs);
 }
 
-void Chooser::OnLoad(const std::string& id, const ServerLoad& load, Micros now) {
+void LoadBalancer::OnLoad(const std::string& id, const ServerLoad& load, Micros now) {
   Server& server = servers_[id];
   server.load = load;
   server.load_at = now;
 }
 
-void Chooser::OnFirstByte(const std::string& id, const Wish& wish, bool runs, Micros now) {
+void LoadBalancer::OnFirstByte(const std::string& id, const RequestAttributes& attributes, bool runs,
+                               Micros now) {
   Server& server = servers_[id];
   server.silent = std::max(0, server.silent - 1);
   server.silent_since = server.silent > 0 ? now : 0;
-  if (wish.parts == nullptr || !runs) return;
-  backlog_.OnRead(id, wish.sent_at, now);
-  LearnSpeed(wish, now);
+  if (attributes.parts == nullptr || !runs) return;
+  prefill_queue_.OnRead(id, attributes.sent_at, now);
+  LearnSpeed(attributes, now);
 }
 
-void Chooser::LearnSpeed(const Wish& wish, Micros now) {
-  const double waited_ms = static_cast<double>(now - wish.sent_at) / 1000;
-  if (wish.unread_tokens < kLeastSampleTokens || waited_ms < 2 * wish.before_ms) return;
-  const double read_ms = waited_ms - wish.before_ms;
-  if (read_ms < kPlausibleShare * wish.unread_ms) return;
-  ReadSpeed& speed = speeds_[wish.model];
+void LoadBalancer::LearnSpeed(const RequestAttributes& attributes, Micros now) {
+  const double waited_ms = static_cast<double>(now - attributes.sent_at) / 1000;
+  if (attributes.unread_tokens < kLeastSampleTokens || waited_ms < 2 * attributes.before_ms) return;
+  const double read_ms = waited_ms - attributes.before_ms;
+  if (read_ms < kPlausibleShare * attributes.unread_ms) return;
+  ReadSpeed& speed = speeds_[attributes.model];
   speed.ms = speed.ms * kSampleFades + read_ms;
-  speed.tokens = speed.tokens * kSampleFades + wish.unread_tokens;
+  speed.tokens = speed.tokens * kSampleFades + attributes.unread_tokens;
 }
 
-void Chooser::OnEnd(const std::string& id, AttemptResult result, const Wish& wish, bool answered,
-                    Micros now) {
+void LoadBalancer::OnEnd(const std::string& id, AttemptResult result, const RequestAttributes& attributes,
+                         bool answered, Micros now) {
   Server& server = servers_[id];
   if (!answered && server.silent > 0 && --server.silent == 0) server.silent_since = 0;
   server.in_flight = std::max(0, server.in_flight - 1);
@@ -233,7 +240,7 @@
       server.full_until = now + kFullFor;
       return;
     case AttemptResult::kWrongServer:
-      server.lacks_until[WeightsKey(wish)] = now + kLacksFor;
+      server.lacks_until[WeightsKey(attributes)] = now + kLacksFor;
       return;
     case AttemptResult::kUnreachable:
     case AttemptResult::kBroken:
@@ -253,28 +260,28 @@
 
 // ---- What sidecars tell each other ----
 
-LoadReport Chooser::TakeReport() {
+LoadReport LoadBalancer::TakeReport() {
   LoadReport report;
   report.prompts = std::exchange(prompts_, {});
   return report;
 }
 
-void Chooser::OnReport(const LoadReport& report, Micros now) {
+void LoadBalancer::OnReport(const LoadReport& report, Micros now) {
   for (const SentPrompt& prompt : report.prompts) {
     if (!(prompt.read_ms >= 0 && prompt.read_ms <= kMostReadMs)) continue;
-    backlog_.OnSent(prompt.server, prompt.read_ms * report_weight_, now);
+    prefill_queue_.OnSent(prompt.server, prompt.read_ms * report_weight_, now);
     servers_[prompt.server].cache.Insert(prompt.weights, ParsePromptParts(prompt.parts), kCacheTokens);
   }
 }
 
-void Chooser::Keep(const Directory& directory, Micros now) {
-  backlog_.Expire(now);
+void LoadBalancer::Keep(const Directory& directory, Micros now) {
+  prefill_queue_.Expire(now);
   std::erase_if(servers_, [&](const auto& entry) {
     return entry.second.in_flight == 0 && directory.Find(entry.first) == nullptr;
   });
 }
 
-int Chooser::InFlight(const std::string& id) const {
+int LoadBalancer::InFlight(const std::string& id) const {
   const auto it = servers_.find(id);
   return it == servers_.end() ? 0 : it->second.in_flight;
 }
--- a/src/dataplane/load_balancing/load_balancer.hpp
+++ b/src/dataplane/load_balancing/load_balancer.hpp
@@ -15,6 +15,7 @@
 #include <vector>
 
 #include "common/random.hpp"
+#include "common/time.hpp"
 #include "dataplane/load_balancing/prefill_queue.hpp"
 #include "dataplane/load_balancing/prefix_cache.hpp"
 #include "dataplane/routing/directory.hpp"
@@ -40,13 +41,11 @@
   kCancelled,    // may have run: given up here for another reason
 };
 
-class Chooser {
+class LoadBalancer {
  public:
-  using Micros = std::int64_t;
+  explicit LoadBalancer(std::uint64_t seed) : random_(seed) {}
 
-  explicit Chooser(std::uint64_t seed) : random_(seed) {}
-
-  struct Wish {
+  struct RequestAttributes {
     std::string model;  // empty for plain services
     std::string adapter;
     const std::vector<PromptPart>* parts = nullptr;
@@ -68,14 +67,15 @@
 
   // Null if no server of `candidates` may take it now. They are sorted by id.
   const Instance* Choose(const std::vector<const Instance*>& candidates, const Directory& directory,
-                         const Wish& wish, Micros now);
+                         const RequestAttributes& attributes, Micros now);
 
-  void OnSent(const std::string& id, Wish& wish, Micros now);
+  void OnSent(const std::string& id, RequestAttributes& attributes, Micros now);
   void OnLoad(const std::string& id, const ServerLoad& load, Micros now);
   // `runs`: the server has begun to answer, and does not turn the request away.
-  void OnFirstByte(const std::string& id, const Wish& wish, bool runs, Micros now);
+  void OnFirstByte(const std::string& id, const RequestAttributes& attributes, bool runs, Micros now);
   // `answered`: a first byte has come.
-  void OnEnd(const std::string& id, AttemptResult result, const Wish& wish, bool answered, Micros now);
+  void OnEnd(const std::string& id, AttemptResult result, const RequestAttributes& attributes, bool answered,
+             Micros now);
   // Forgets servers that are no longer there.
   void Keep(const Directory& directory, Micros now);
 
@@ -112,26 +112,28 @@
     double tokens = 0;
   };
 
-  void LearnSpeed(const Wish& wish, Micros now);
+  void LearnSpeed(const RequestAttributes& attributes, Micros now);
   double MsPerToken(const std::string& model) const;
   // How long a prompt waits at a server until it is read, in ms.
-  double ReadCost(const Server& server, const Instance& instance, const Wish& wish, bool home,
-                  Micros now) const;
+  double ReadCost(const Server& server, const Instance& instance, const RequestAttributes& attributes,
+                  bool home, Micros now) const;
   // Of what the server told last of others' requests, what is left of it now.
   static double Faded(const Server& server, int told, Micros now);
-  bool Usable(const Server& server, const Wish& wish, Micros now) const;
+  bool Usable(const Server& server, const RequestAttributes& attributes, Micros now) const;
   bool Connected(const Instance& instance) const { return !connected_ || connected_(instance.id); }
   bool InOwnZone(const Instance& instance) const { return zone_.empty() || instance.zone == zone_; }
-  double Cost(const Server& server, const Instance& instance, const Wish& wish, bool home, Micros now) const;
+  double Cost(const Server& server, const Instance& instance, const RequestAttributes& attributes, bool home,
+              Micros now) const;
   // The servers that all sidecars prefer for a prompt's shared parts, by a hash of both: its parts are read
   // there.
-  static std::vector<const Instance*> Homes(const std::vector<const Instance*>& candidates, const Wish& wish);
+  static std::vector<const Instance*> Homes(const std::vector<const Instance*>& candidates,
+                                            const RequestAttributes& attributes);
 
   Random random_;
   std::string zone_;  // empty: all are as near
   std::function<bool(const std::string& id)> connected_;
   std::map<std::string, Server> servers_;
-  ReadBacklog backlog_;
+  PrefillQueue prefill_queue_;
   double report_weight_ = 1;                 // sidecars for each one that tells of its prompts
   std::map<std::string, ReadSpeed> speeds_;  // by model
   std::vector<SentPrompt> prompts_;          // sent since the last report
--- a/src/dataplane/load_balancing/load_report_exchange.cpp
+++ b/src/dataplane/load_balancing/load_report_exchange.cpp
@@ -21,10 +21,11 @@
 
 }  // namespace
 
-LoadGossip::LoadGossip(boost::asio::io_context& io, std::string node, Chooser& chooser)
-    : chooser_(chooser), node_(std::move(node)), socket_(io), send_soon_(io) {}
+LoadReportExchange::LoadReportExchange(boost::asio::io_context& io, std::string node,
+                                       LoadBalancer& load_balancer)
+    : load_balancer_(load_balancer), node_(std::move(node)), socket_(io), send_soon_(io) {}
 
-std::error_code LoadGossip::Start(const std::string& address) {
+std::error_code LoadReportExchange::Start(const std::string& address) {
   const auto endpoint = ParseEndpoint(address);
   if (!endpoint) return std::make_error_code(std::errc::invalid_argument);
   boost::system::error_code error;
@@ -36,26 +37,26 @@
     socket_.close();
     return error;
   }
-  chooser_.SetOnNews([this](bool heavy) { OnNews(heavy); });
+  load_balancer_.SetOnNews([this](bool heavy) { OnNews(heavy); });
   Receive();
   return {};
 }
 
-void LoadGossip::Stop() {
-  chooser_.SetOnNews(nullptr);
+void LoadReportExchange::Stop() {
+  load_balancer_.SetOnNews(nullptr);
   send_soon_.cancel();
   boost::system::error_code ignored;
   socket_.close(ignored);
 }
 
-void LoadGossip::SetNeighbors(const std::vector<std::string>& addresses) {
+void LoadReportExchange::SetNeighbors(const std::vector<std::string>& addresses) {
   neighbors_.clear();
   for (const std::string& address : addresses)
     if (const auto endpoint = ParseEndpoint(address))
       neighbors_.emplace_back(endpoint->address(), endpoint->port());
 }
 
-void LoadGossip::OnNews(bool heavy) {
+void LoadReportExchange::OnNews(bool heavy) {
   if (send_pending_ && (soon_ || !heavy)) return;
   send_pending_ = true;
   soon_ = heavy;
@@ -65,9 +66,9 @@
   });
 }
 
-void LoadGossip::Send() {
+void LoadReportExchange::Send() {
   send_pending_ = false;
-  LoadReport report = chooser_.TakeReport();
+  LoadReport report = load_balancer_.TakeReport();
   if (report.prompts.empty() || neighbors_.empty() || !socket_.is_open()) return;
   report.node = node_;
   const std::string text = Encode(report);
@@ -77,7 +78,7 @@
     socket_.send_to(boost::asio::buffer(text), neighbor, 0, ignored);
 }
 
-void LoadGossip::Receive() {
+void LoadReportExchange::Receive() {
   socket_.async_receive_from(boost::asio::buffer(buffer_), sender_,
                              [this](const boost::system::error_code& error, std::size_t bytes) {
                                if (!socket_.is_open()) return;
@@ -86,9 +87,9 @@
                              });
 }
 
-void LoadGossip::Take(std::size_t bytes) {
+void LoadReportExchange::Take(std::size_t bytes) {
   const std::string_view text(buffer_.data(), bytes);
-  if (const auto report = DecodeLoadReport(text)) return chooser_.OnReport(*report, SteadyMicros());
+  if (const auto report = DecodeLoadReport(text)) return load_balancer_.OnReport(*report, SteadyMicros());
   spdlog::debug("a report of load cannot be read: {} bytes", bytes);
 }
 
--- a/src/dataplane/load_balancing/load_report_exchange.hpp
+++ b/src/dataplane/load_balancing/load_report_exchange.hpp
@@ -17,10 +17,10 @@
 
 namespace violetwing {
 
-class LoadGossip {
+class LoadReportExchange {
  public:
   // `node` names this sidecar in its reports.
-  LoadGossip(boost::asio::io_context& io, std::string node, Chooser& chooser);
+  LoadReportExchange(boost::asio::io_context& io, std::string node, LoadBalancer& load_balancer);
 
   // Takes reports at this address. Where that fails nothing is told either, and requests go on without.
   std::error_code Start(const std::string& address);
@@ -36,7 +36,7 @@
   void Receive();
   void Take(std::size_t bytes);
 
-  Chooser& chooser_;
+  LoadBalancer& load_balancer_;
   const std::string node_;
   boost::asio::ip::udp::socket socket_;
   boost::asio::steady_timer send_soon_;
--- a/src/dataplane/load_balancing/prefill_queue.cpp
+++ b/src/dataplane/load_balancing/prefill_queue.cpp
@@ -6,19 +6,19 @@
 namespace {
 
 // What was sent longer ago has been read, or its server is in trouble, which shows elsewhere.
-constexpr ReadBacklog::Micros kReadWithin = 10'000'000;
+constexpr Micros kReadWithin = 10'000'000;
 
-ReadBacklog::Micros ToMicros(double ms) { return static_cast<ReadBacklog::Micros>(ms * 1000); }
+Micros ToMicros(double ms) { return static_cast<Micros>(ms * 1000); }
 
 }  // namespace
 
-void ReadBacklog::OnSent(const std::string& server, double ms, Micros now) {
+void PrefillQueue::OnSent(const std::string& server, double ms, Micros now) {
   Server& at = servers_[server];
   at.sent.push_back({now, ms});
   at.read_at = std::max(at.read_at, now) + ToMicros(ms);
 }
 
-void ReadBacklog::OnRead(const std::string& server, Micros sent_at, Micros now) {
+void PrefillQueue::OnRead(const std::string& server, Micros sent_at, Micros now) {
   const auto it = servers_.find(server);
   if (it == servers_.end()) return;
   Server& at = it->second;
@@ -28,13 +28,13 @@
   at.read_at = now + ToMicros(left_ms);
 }
 
-double ReadBacklog::WaitMs(const std::string& server, Micros now) const {
+double PrefillQueue::WaitMs(const std::string& server, Micros now) const {
   const auto it = servers_.find(server);
   if (it == servers_.end() || it->second.read_at <= now) return 0;
   return static_cast<double>(it->second.read_at - now) / 1000;
 }
 
-void ReadBacklog::Expire(Micros now) {
+void PrefillQueue::Expire(Micros now) {
   for (auto& [id, server] : servers_)
     while (!server.sent.empty() && now - server.sent.front().at > kReadWithin) server.sent.pop_front();
   std::erase_if(servers_,
--- a/src/dataplane/load_balancing/prefill_queue.hpp
+++ b/src/dataplane/load_balancing/prefill_queue.hpp
@@ -10,12 +10,12 @@
 #include <map>
 #include <string>
 
+#include "common/time.hpp"
+
 namespace violetwing {
 
-class ReadBacklog {
+class PrefillQueue {
  public:
-  using Micros = std::int64_t;
-
   // A prompt that takes `ms` to be read was sent to the server.
   void OnSent(const std::string& server, double ms, Micros now);
   // The prompt that was sent there at `sent_at` has been read.
--- a/src/dataplane/routing/request_router.cpp
+++ b/src/dataplane/routing/request_router.cpp
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-Forwarder::Forwarder(DataPlane& plane, ClientPtr client, ClientRequest request)
+RequestRouter::RequestRouter(DataPlane& plane, ClientPtr client, ClientRequest request)
     : plane_(plane),
       client_(std::move(client)),
       request_(std::move(request)),
@@ -64,11 +64,11 @@
       deadline_timer_(plane.io),
       pause_(plane.io) {}
 
-std::int64_t Forwarder::LeftMs() const {
+std::int64_t RequestRouter::LeftMs() const {
   return duration_cast<milliseconds>(deadline_ - Clock::now()).count();
 }
 
-void Forwarder::Start() {
+void RequestRouter::Start() {
   client_->on_gone = [self = shared_from_this()] { self->OnClientGone(); };
   if (!directory_->HasConfiguration()) return Refuse("no configuration yet", kStartS);
   if (!FindRoute()) return Fail(404, "Not Found", "no route");
@@ -82,17 +82,17 @@
   });
   backend_ = PickBackend();
   if (backend_ == nullptr) return Refuse("no service");
-  ReadWish();
+  ReadAttributes();
   plane_.budget.OnRequest(backend_->name, SteadyMicros());
   Dispatch();
 }
 
-bool Forwarder::FindRoute() {
+bool RequestRouter::FindRoute() {
   route_ = directory_->routes().Match(request_.host, request_.target);
   return route_ != nullptr;
 }
 
-const configuration::Backend* Forwarder::PickBackend() {
+const configuration::Backend* RequestRouter::PickBackend() {
   double sum = 0;
   for (const configuration::Share& share : route_->shares) sum += share.weight;
   double at = plane_.random.Uniform() * sum;
@@ -106,31 +106,32 @@
   return picked == nullptr ? nullptr : directory_->FindBackend(picked->backend);
 }
 
-void Forwarder::ReadWish() {
+void RequestRouter::ReadAttributes() {
   if (const std::string* id = FindField(request_.fields, field::kRequestId)) request_id_ = *id;
   if (backend_->runtime == nullptr) return;
   if (const std::string* model = FindField(request_.fields, field::kModel)) {
     const std::size_t slash = model->find('/');
-    wish_.model = model->substr(0, slash);
-    if (slash != std::string::npos) wish_.adapter = model->substr(slash + 1);
+    attributes_.model = model->substr(0, slash);
+    if (slash != std::string::npos) attributes_.adapter = model->substr(slash + 1);
   }
   double prompt = 0;
   double most_out = 0;
   if (const std::string* count = FindField(request_.fields, field::kTokenCount))
     std::sscanf(count->c_str(), "%lf,%lf", &prompt, &most_out);
   tokens_ = prompt + kReadPerPutOut * most_out;
-  wish_.tokens = prompt;
+  attributes_.tokens = prompt;
   if (const std::string* parts = FindField(request_.fields, field::kPromptPrefix)) {
     parts_ = ParsePromptParts(*parts);
-    wish_.parts = &parts_;
+    attributes_.parts = &parts_;
   }
 }
 
-void Forwarder::CountDemand(bool waiting) {
-  if (wish_.model.empty() || plane_.link == nullptr) return;
+void RequestRouter::CountDemand(bool waiting) {
+  if (attributes_.model.empty() || plane_.link == nullptr) return;
   ModelDemand demand;
   demand.backend = backend_->name;
-  demand.model = wish_.adapter.empty() ? wish_.model : wish_.model + "/" + wish_.adapter;
+  demand.model =
+      attributes_.adapter.empty() ? attributes_.model : attributes_.model + "/" + attributes_.adapter;
   if (!std::exchange(demanded_, true)) {
     demand.requests = 1;
     demand.tokens = tokens_;
@@ -141,13 +142,14 @@
 
 // ---- Attempts ----
 
-void Forwarder::Dispatch() {
+void RequestRouter::Dispatch() {
   if (over_) return;
   const DirectoryPtr now = plane_.directory;
-  const bool models = backend_->runtime != nullptr && !wish_.model.empty();
+  const bool models = backend_->runtime != nullptr && !attributes_.model.empty();
   const std::vector<const Instance*> candidates =
-      models ? now->Holders(backend_->name, wish_.model, wish_.adapter) : now->Servers(backend_->name);
-  const Instance* instance = plane_.chooser.Choose(candidates, *now, wish_, SteadyMicros());
+      models ? now->Holders(backend_->name, attributes_.model, attributes_.adapter)
+             : now->Servers(backend_->name);
+  const Instance* instance = plane_.load_balancer.Choose(candidates, *now, attributes_, SteadyMicros());
   if (instance == nullptr) {
     if (models && !now->Servers(backend_->name).empty()) return Hold();
     return Refuse("no server", kStartS / 2);
@@ -158,19 +160,19 @@
 }
 
 // Waits until a server has the model: the placer is told, and a new directory tells when it is there.
-void Forwarder::Hold() {
+void RequestRouter::Hold() {
   if (std::exchange(held_, true)) {
     plane_.waiting.insert(shared_from_this());
     return;
   }
   double load_ms = -1;
   for (const configuration::Model& model : backend_->runtime->models)
-    if (model.name == wish_.model) load_ms = model.load_time_s * 1000;
+    if (model.name == attributes_.model) load_ms = model.load_time_s * 1000;
   if (load_ms < 0) return Refuse("no such model");
   CountDemand(true);
   const double left = std::min(static_cast<double>(LeftMs()), PatienceMs(*route_));
   const double hold = std::min(load_ms * 1.5 + kHoldSlackMs, left - kAnswerMs);
-  if (wish_.adapter.empty() && hold < load_ms)
+  if (attributes_.adapter.empty() && hold < load_ms)
     return Refuse("no server has the model, and its load takes too long");
   plane_.waiting.insert(shared_from_this());
   pause_.expires_after(microseconds(static_cast<std::int64_t>(hold * 1000)));
@@ -179,11 +181,11 @@
   });
 }
 
-void Forwarder::OnDirectory() {
+void RequestRouter::OnDirectory() {
   if (!over_ && exchange_ == nullptr) Dispatch();
 }
 
-std::string Forwarder::RequestText(const Instance& instance) const {
+std::string RequestRouter::RequestText(const Instance& instance) const {
   std::string text;
   text.reserve(request_.body.size() + 1024);
   text += request_.method + " " + request_.target + " HTTP/1.1\r\n";
@@ -202,14 +204,14 @@
   return text;
 }
 
-void Forwarder::Send(const Instance& instance) {
+void RequestRouter::Send(const Instance& instance) {
   pause_.cancel();
   server_ = instance.id;
   sent_at_ = Clock::now();
   answered_ = refused_ = wrong_server_ = false;
   ++attempts_;
-  wish_.tried.push_back(instance.id);
-  plane_.chooser.OnSent(server_, wish_, SteadyMicros());
+  attributes_.tried.push_back(instance.id);
+  plane_.load_balancer.OnSent(server_, attributes_, SteadyMicros());
   UpstreamExchange::Request request;
   request.instance = instance.id;
   request.address = instance.address;
@@ -223,17 +225,18 @@
   exchange_ = plane_.pool.Start(std::move(request), std::move(events));
 }
 
-void Forwarder::OnHead(const AnswerHead& head) {
+void RequestRouter::OnHead(const AnswerHead& head) {
   const Micros now = SteadyMicros();
   if (const std::string* load = FindField(head.fields, field::kServerLoad))
-    plane_.chooser.OnLoad(server_, ParseLoad(*load), now);
-  if (!std::exchange(answered_, true)) plane_.chooser.OnFirstByte(server_, wish_, head.status == 200, now);
+    plane_.load_balancer.OnLoad(server_, ParseLoad(*load), now);
+  if (!std::exchange(answered_, true))
+    plane_.load_balancer.OnFirstByte(server_, attributes_, head.status == 200, now);
   first_byte_at_ = Clock::now();
   const bool not_run = FindField(head.fields, field::kNotExecuted) != nullptr || head.status == 421;
   if (not_run && Promises(head.status)) {
     refused_ = true;  // decided once its answer is read, so that its connection can serve again
     wrong_server_ = head.status == 421;
-    if (wrong_server_) wish_.tried.clear();
+    if (wrong_server_) attributes_.tried.clear();
     return;
   }
   may_have_run_ = true;
@@ -249,18 +252,18 @@
   client_->SendHead(head.status, head.reason, head.fields, head.length, head.bodiless);
 }
 
-void Forwarder::OnData(std::string_view piece) {
+void RequestRouter::OnData(std::string_view piece) {
   if (refused_ || over_) return;
   client_->SendData(piece);
   if (client_->unsent() > kMostUnsent && exchange_ != nullptr) exchange_->Pause();
 }
 
-void Forwarder::EndAttempt(AttemptResult result) {
+void RequestRouter::EndAttempt(AttemptResult result) {
   exchange_.reset();
-  plane_.chooser.OnEnd(server_, result, wish_, answered_, SteadyMicros());
+  plane_.load_balancer.OnEnd(server_, result, attributes_, answered_, SteadyMicros());
 }
 
-void Forwarder::OnEnd(ExchangeEnd end) {
+void RequestRouter::OnEnd(ExchangeEnd end) {
   if (over_) return;
   switch (end) {
     case ExchangeEnd::kUnreachable:
@@ -296,7 +299,7 @@
 }
 
 // Waits as the design has it, if another attempt is allowed and can come in time.
-bool Forwarder::WaitToRetry(bool arrived) {
+bool RequestRouter::WaitToRetry(bool arrived) {
   const int most = std::min(kMostAttempts, route_->max_attempts);
   if (attempts_ >= most || unreachable_ >= kMostUnreachable) return false;
   const Micros wait = RetryWait(refusals_, plane_.random);
@@ -310,18 +313,18 @@
   return true;
 }
 
-void Forwarder::RetryOrRefuse() {
+void RequestRouter::RetryOrRefuse() {
   if (may_have_run_ && !Repeatable()) return Fail(502, "Bad Gateway", "the server failed");
   if (!WaitToRetry(attempts_ > 0)) Refuse("no server has taken it");
 }
 
-void Forwarder::RetryOrFail() {
+void RequestRouter::RetryOrFail() {
   if (!Repeatable() || !WaitToRetry(true)) Fail(502, "Bad Gateway", "the server failed");
 }
 
 // ---- Final answers ----
 
-void Forwarder::Refuse(const char* why, double come_back_s) {
+void RequestRouter::Refuse(const char* why, double come_back_s) {
   outcome_ = why;
   if (may_have_run_ && route_ != nullptr && !Repeatable()) return Fail(502, "Bad Gateway", why);
   char seconds[32];
@@ -330,13 +333,13 @@
   End();
 }
 
-void Forwarder::Fail(int status, const char* reason, const char* why) {
+void RequestRouter::Fail(int status, const char* reason, const char* why) {
   outcome_ = why;
   client_->Answer(status, reason, {}, std::string(why) + "\n");
   End();
 }
 
-void Forwarder::OnDeadline() {
+void RequestRouter::OnDeadline() {
   if (over_) return;
   const bool sent = exchange_ != nullptr && exchange_->sent();
   if (exchange_ != nullptr) {
@@ -354,7 +357,7 @@
   Refuse("no server had room in time");
 }
 
-void Forwarder::OnClientGone() {
+void RequestRouter::OnClientGone() {
   if (over_) return;
   outcome_ = "the client left";
   if (exchange_ != nullptr) {
@@ -366,7 +369,7 @@
 }
 
 // One line a request, in milliseconds since it came; off unless the level is debug.
-void Forwarder::LogEnd() const {
+void RequestRouter::LogEnd() const {
   if (!spdlog::should_log(spdlog::level::debug)) return;
   const auto since = [&](Clock::time_point at) {
     return at == Clock::time_point() ? -1 : duration_cast<milliseconds>(at - request_.arrived).count();
@@ -374,12 +377,12 @@
   spdlog::debug(
       "request {} route {} model {}/{} server {} attempts {} sent {} first_byte {} end {}: {}; to read "
       "{:.0f} ms before, {:.0f} ms own",
-      request_id_, route_ == nullptr ? "-" : route_->name, wish_.model, wish_.adapter, server_, attempts_,
-      since(sent_at_), since(first_byte_at_), since(Clock::now()), outcome_, wish_.before_ms,
-      wish_.unread_ms);
+      request_id_, route_ == nullptr ? "-" : route_->name, attributes_.model, attributes_.adapter, server_,
+      attempts_, since(sent_at_), since(first_byte_at_), since(Clock::now()), outcome_, attributes_.before_ms,
+      attributes_.unread_ms);
 }
 
-void Forwarder::End() {
+void RequestRouter::End() {
   if (std::exchange(over_, true)) return;
   LogEnd();
   deadline_timer_.cancel();
--- a/src/dataplane/routing/request_router.hpp
+++ b/src/dataplane/routing/request_router.hpp
@@ -19,24 +19,24 @@
 
 namespace violetwing {
 
-class Forwarder;
+class RequestRouter;
 
 // What all requests of a sidecar share.
 struct DataPlane {
   boost::asio::io_context& io;
   DirectoryPtr directory;
-  Chooser chooser;
+  LoadBalancer load_balancer;
   RetryBudget budget;
   UpstreamPool pool;
   Random random;
   ControlLink* link = nullptr;
   // Those that wait for a server that can run them: told of each new directory.
-  std::set<std::shared_ptr<Forwarder>> waiting;
+  std::set<std::shared_ptr<RequestRouter>> waiting;
 };
 
-class Forwarder : public std::enable_shared_from_this<Forwarder> {
+class RequestRouter : public std::enable_shared_from_this<RequestRouter> {
  public:
-  Forwarder(DataPlane& plane, ClientPtr client, ClientRequest request);
+  RequestRouter(DataPlane& plane, ClientPtr client, ClientRequest request);
   void Start();
   // There is a new directory.
   void OnDirectory();
@@ -47,7 +47,7 @@
   using Clock = std::chrono::steady_clock;
 
   bool FindRoute();
-  void ReadWish();
+  void ReadAttributes();
   const configuration::Backend* PickBackend();
   void Dispatch();
   void Hold();
@@ -83,7 +83,7 @@
   const configuration::Backend* backend_ = nullptr;
   std::string request_id_;
   std::vector<PromptPart> parts_;
-  Chooser::Wish wish_;
+  LoadBalancer::RequestAttributes attributes_;
   double tokens_ = 0;  // of prompt and answer, in tokens read
   Clock::time_point deadline_;
   boost::asio::steady_timer deadline_timer_;
--- a/src/dataplane/routing/retry_budget.hpp
+++ b/src/dataplane/routing/retry_budget.hpp
@@ -9,11 +9,10 @@
 #include <string>
 
 #include "common/random.hpp"
+#include "common/time.hpp"
 
 namespace violetwing {
 
-using Micros = std::int64_t;
-
 // This sidecar's part of the repeats that all may send to a service. It spends the ratio of its own requests,
 // and an even part of the slack, but none of that right after a start, when it does not know what it had
 // spent before.
--- a/src/messages/instances.hpp
+++ b/src/messages/instances.hpp
@@ -14,16 +14,16 @@
 // Later phases go before earlier ones of the same sequence number.
 enum class Phase {
   kReady,
-  kLost,      // no heartbeat for long: no requests, but it may come back
-  kDraining,  // it has said that it leaves
-  kGone,      // it has said that it has left, or another server has its address
+  kLost,          // no heartbeat for long: no requests, but it may come back
+  kDraining,      // it has said that it leaves
+  kDeregistered,  // it has said that it has left, or another server has its address
 };
 NLOHMANN_JSON_SERIALIZE_ENUM(Phase, {{Phase::kReady, "ready"},
                                      {Phase::kLost, "lost"},
                                      {Phase::kDraining, "draining"},
-                                     {Phase::kGone, "gone"}})
+                                     {Phase::kDeregistered, "gone"}})
 
-inline bool Leaves(Phase phase) { return phase == Phase::kDraining || phase == Phase::kGone; }
+inline bool Leaves(Phase phase) { return phase == Phase::kDraining || phase == Phase::kDeregistered; }
 // What has left stays so, whatever a later or reordered message says.
 inline Phase LaterPhase(Phase known, Phase told) { return Leaves(known) ? std::max(known, told) : told; }
 
--- a/src/messages/peer.cpp
+++ b/src/messages/peer.cpp
@@ -16,7 +16,7 @@
       return wire::LOST;
     case Phase::kDraining:
       return wire::DRAINING;
-    case Phase::kGone:
+    case Phase::kDeregistered:
       return wire::GONE;
   }
   return wire::READY;
@@ -31,7 +31,7 @@
     case wire::DRAINING:
       return Phase::kDraining;
     case wire::GONE:
-      return Phase::kGone;
+      return Phase::kDeregistered;
   }
   return Phase::kReady;
 }
@@ -205,14 +205,14 @@
   ToWire(reply.changed, *out.mutable_changed());
   ToWire(reply.known, *out.mutable_known());
   out.mutable_heard();
-  for (const Heard& heard : reply.heard) {
+  for (const LastSeen& heard : reply.heard) {
     wire::HeardServer& one = *out.mutable_heard()->add_servers();
     one.set_id(heard.id);
     one.set_sequence(heard.sequence);
     one.set_age_ms(heard.age_ms);
   }
   out.mutable_edges();
-  for (const HeardSidecar& heard : reply.edges) {
+  for (const SidecarLastSeen& heard : reply.edges) {
     wire::HeardSidecar& one = *out.mutable_edges()->add_sidecars();
     one.set_id(heard.id);
     one.set_address(heard.address);
@@ -240,7 +240,7 @@
 
 // ---- Pulls ----
 
-std::string Encode(const PullRequest& request) {
+std::string Encode(const WatchRequest& request) {
   wire::PullRequest out;
   out.set_node(request.node);
   out.set_source(request.source);
@@ -255,10 +255,10 @@
 }
 
 template <>
-std::optional<PullRequest> Decode(const std::string& bytes) {
+std::optional<WatchRequest> Decode(const std::string& bytes) {
   const auto in = wire::Parse<wire::PullRequest>(bytes);
   if (!in) return std::nullopt;
-  PullRequest request;
+  WatchRequest request;
   request.node = in->node();
   request.source = in->source();
   request.configuration = in->configuration();
@@ -271,7 +271,7 @@
   return request;
 }
 
-std::string Encode(const PullReply& reply) {
+std::string Encode(const WatchReply& reply) {
   wire::PullReply out;
   out.set_source(reply.source);
   out.set_whole(reply.whole);
@@ -291,10 +291,10 @@
 }
 
 template <>
-std::optional<PullReply> Decode(const std::string& bytes) {
+std::optional<WatchReply> Decode(const std::string& bytes) {
   const auto in = wire::Parse<wire::PullReply>(bytes);
   if (!in) return std::nullopt;
-  PullReply reply;
+  WatchReply reply;
   reply.source = in->source();
   reply.whole = in->whole();
   reply.configuration = in->configuration();
--- a/src/messages/peer.hpp
+++ b/src/messages/peer.hpp
@@ -17,7 +17,7 @@
 
 // Paths on the internal address.
 inline constexpr const char* kExchangePath = "/internal/exchange";
-inline constexpr const char* kPullPath = "/internal/pull";
+inline constexpr const char* kWatchPath = "/internal/pull";
 inline constexpr const char* kDemandPath = "/internal/demand";
 
 // A control process: its names for the others.
@@ -42,14 +42,14 @@
 };
 
 // A heartbeat of a server that one control process took and tells the others of.
-struct Heard {
+struct LastSeen {
   std::string id;
   std::int64_t sequence = 0;
   std::int64_t age_ms = 0;
 };
 
 // Likewise a pull of a sidecar.
-struct HeardSidecar {
+struct SidecarLastSeen {
   std::string id;       // its name
   std::string address;  // where it takes the reports of other sidecars; empty if nowhere
   std::int64_t age_ms = 0;
@@ -57,8 +57,8 @@
 
 struct ExchangeRequest {
   ControlNode from;
-  std::string source;       // one life of the sender
-  std::string changed_for;  // the life of the receiver by whose knowledge `changed` goes
+  std::string source;       // one incarnation of the sender
+  std::string changed_for;  // the incarnation of the receiver by whose knowledge `changed` goes
   std::string disk;         // id of the sender's replicas
   std::vector<int> joins;   // shards in which that disk has no vote
   VersionVector known;
@@ -72,17 +72,17 @@
 };
 
 struct ExchangeReply {
-  std::string source;  // one life of the answering process
+  std::string source;  // one incarnation of the answering process
   std::vector<Instance> changed;
   VersionVector known;
-  std::vector<Heard> heard;  // servers
-  std::vector<HeardSidecar> edges;
+  std::vector<LastSeen> heard;  // servers
+  std::vector<SidecarLastSeen> edges;
   std::vector<ControlNode> controls;
 };
 
-struct PullRequest {
+struct WatchRequest {
   std::string node;
-  std::string source;  // the life of a control process whose whole list is held
+  std::string source;  // the incarnation of a control process whose whole list is held
   std::int64_t configuration = 0;
   VersionVector known;
   int wait_ms = 0;
@@ -98,7 +98,7 @@
   std::vector<std::string> addresses;
 };
 
-struct PullReply {
+struct WatchReply {
   std::string source;
   bool whole = false;  // `changed` has all servers, whatever the caller has heard of them before
   std::int64_t configuration = 0;
@@ -114,8 +114,8 @@
 
 std::string Encode(const ExchangeRequest& request);
 std::string Encode(const ExchangeReply& reply);
-std::string Encode(const PullRequest& request);
-std::string Encode(const PullReply& reply);
+std::string Encode(const WatchRequest& request);
+std::string Encode(const WatchReply& reply);
 std::string Encode(const std::vector<ModelDemand>& demand);
 // Empty where the bytes are no such message, or lack a field.
 template <class Call>
@@ -125,9 +125,9 @@
 template <>
 std::optional<ExchangeReply> Decode(const std::string& bytes);
 template <>
-std::optional<PullRequest> Decode(const std::string& bytes);
+std::optional<WatchRequest> Decode(const std::string& bytes);
 template <>
-std::optional<PullReply> Decode(const std::string& bytes);
+std::optional<WatchReply> Decode(const std::string& bytes);
 template <>
 std::optional<std::vector<ModelDemand>> Decode(const std::string& bytes);
 
--- a/tests/control/configuration/configuration_test.cpp
+++ b/tests/control/configuration/configuration_test.cpp
@@ -148,7 +148,7 @@
 
 namespace {
 
-constexpr std::int64_t kMostKept = TakenChanges::kMostKept;
+constexpr std::int64_t kMostKept = AcceptedChanges::kMostKept;
 
 // A small one, with nothing but a version.
 json Small(std::int64_t version) {
--- a/tests/control/configuration/patches_test.cpp
+++ b/tests/control/configuration/patches_test.cpp
@@ -14,16 +14,16 @@
 using configuration::RecentPatches;
 using nlohmann::json;
 using testing::Document;
-using testing::Letter;
 using testing::PatchDocument;
 using testing::VirtualSystem;
+using testing::WireMessage;
 using Texts = std::vector<std::string>;
 
 double TimeoutOf(const configuration::State& state) { return state.current()->routes[0].timeout_ms; }
 
 // An answer to a sidecar that holds an earlier version.
-PullReply ReplyOf(std::int64_t version, std::string document, Texts patches) {
-  PullReply reply;
+WatchReply ReplyOf(std::int64_t version, std::string document, Texts patches) {
+  WatchReply reply;
   reply.configuration = version;
   reply.document = std::move(document);
   reply.patches = std::move(patches);
@@ -104,7 +104,7 @@
 }
 
 TEST_CASE("Cores: a patch is in force at all sidecars without a whole document sent to any") {
-  constexpr VirtualSystem::Micros kMost = 10'000'000;
+  constexpr Micros kMost = 10'000'000;
   VirtualSystem system(3, 4, 1);
   const auto change = [&](const std::string& method, std::int64_t base, const std::string& body) {
     int status = 0;
@@ -131,9 +131,9 @@
   await(1);
   int documents = 0;
   int patches = 0;
-  system.tamper = [&](Letter& letter) {
-    if (letter.path != kPullPath || !letter.answer) return;
-    const auto answer = Decode<PullReply>(letter.body);
+  system.tamper = [&](WireMessage& message) {
+    if (message.path != kWatchPath || !message.answer) return;
+    const auto answer = Decode<WatchReply>(message.body);
     if (!answer) return;
     documents += answer->document.empty() ? 0 : 1;
     patches += answer->patches.empty() ? 0 : 1;
--- a/tests/control/consensus/election_test.cpp
+++ b/tests/control/consensus/election_test.cpp
@@ -169,9 +169,10 @@
   confirmed.sent_at = now;
   replica.Step(confirmed, now);
   REQUIRE(replica.HasLease(now));
-  CHECK_FALSE(replica.InTouch(now));  // its own disk has not written the entry of its term: a quorum lacks it
+  CHECK_FALSE(replica.HasQuorumContact(
+      now));  // its own disk has not written the entry of its term: a quorum lacks it
   replica.Written(replica.last(), kTerm + 1);
-  CHECK(replica.InTouch(now));
+  CHECK(replica.HasQuorumContact(now));
 }
 
 namespace {
@@ -194,11 +195,11 @@
   constexpr Micros kProvenUntil = kReplied - kQuorumAge + Timing{}.follower_proof;
   Replica replica = Restarted();
   replica.Step(ProvingHeartbeat(), kReplied + 10'000);
-  CHECK(replica.InTouch(kProvenUntil - 1));
-  CHECK_FALSE(replica.InTouch(kProvenUntil));
+  CHECK(replica.HasQuorumContact(kProvenUntil - 1));
+  CHECK_FALSE(replica.HasQuorumContact(kProvenUntil));
   Replica late = Restarted();  // it stood still with the heartbeat unread
   late.Step(ProvingHeartbeat(), kReplied + 20 * kStart);
-  CHECK_FALSE(late.InTouch(kReplied + 20 * kStart));
+  CHECK_FALSE(late.HasQuorumContact(kReplied + 20 * kStart));
 }
 
 TEST_CASE("A heartbeat of a leader without a lease proves nothing, nor one that returns no reply") {
@@ -209,7 +210,7 @@
   for (const Message& heartbeat : {without_lease, without_reply}) {
     Replica replica = Restarted();
     replica.Step(heartbeat, kReplied + 10'000);
-    CHECK_FALSE(replica.InTouch(kReplied + 10'000));
+    CHECK_FALSE(replica.HasQuorumContact(kReplied + 10'000));
   }
 }
 
@@ -218,7 +219,7 @@
   Message ahead = ProvingHeartbeat();
   ahead.leader_commit = 2;
   replica.Step(ahead, kReplied + 10'000);
-  CHECK_FALSE(replica.InTouch(kReplied + 10'000));
+  CHECK_FALSE(replica.HasQuorumContact(kReplied + 10'000));
   Message later = ahead;  // a storm: there is more with each heartbeat
   later.leader_commit = 3;
   replica.Step(later, kReplied + 20'000);
@@ -226,7 +227,7 @@
   entry.entries = {{kTerm, EntryKind::kCommand, "x", {}}};
   entry.commit = 2;
   replica.Step(entry, kReplied + 30'000);
-  CHECK(replica.InTouch(kReplied + 30'000));
+  CHECK(replica.HasQuorumContact(kReplied + 30'000));
 }
 
 }  // namespace violetwing::consensus
--- a/tests/control/consensus/membership_test.cpp
+++ b/tests/control/consensus/membership_test.cpp
@@ -13,9 +13,9 @@
 
 // A group of three of which one may be lost, or of five of which two may, and as many empty machines, which
 // are not up yet.
-class Group {
+class ReplicatedStateMachine {
  public:
-  Group(std::size_t voters, std::uint64_t seed)
+  ReplicatedStateMachine(std::size_t voters, std::uint64_t seed)
       : cluster(voters + voters / 2, voters, seed), voters_(voters), spares_(voters / 2) {
     for (std::size_t i = voters; i < cluster.size(); ++i) cluster.PowerOff(i);
     AwaitLeader();
@@ -98,7 +98,7 @@
 TEST_CASE("Successors vote before others may be lost, and then as many may be") {
   for (const bool with_leader : {false, true})
     ForEachGroup([&](std::size_t voters, std::uint64_t seed) {
-      Group group(voters, seed);
+      ReplicatedStateMachine group(voters, seed);
       group.Remove(group.tolerated(), with_leader);
       group.cluster.Run(kSecond);
       group.StartSpares();
@@ -111,7 +111,7 @@
 
 TEST_CASE("Successors that start first vote before the machines end that say so") {
   ForEachGroup([&](std::size_t voters, std::uint64_t seed) {
-    Group group(voters, seed);
+    ReplicatedStateMachine group(voters, seed);
     group.StartSpares();
     group.cluster.Run(kSecond);
     CHECK_FALSE(group.SparesVote());  // while all others are there
@@ -125,7 +125,7 @@
 
 TEST_CASE("A leader that says it ends and does is replaced as soon as another one leads") {
   ForEachGroup([&](std::size_t voters, std::uint64_t seed) {
-    Group group(voters, seed);
+    ReplicatedStateMachine group(voters, seed);
     group.StartSpares();
     group.cluster.Run(kSecond);
     const std::size_t leader = group.AwaitLeader();
@@ -140,7 +140,7 @@
 
 TEST_CASE("A voter that stands still for a second keeps its vote, also beside a machine that could take it") {
   ForEachGroup([&](std::size_t voters, std::uint64_t seed) {
-    Group group(voters, seed);
+    ReplicatedStateMachine group(voters, seed);
     group.StartSpares();
     group.cluster.Run(kSecond);
     const std::size_t frozen = (group.AwaitLeader() + 1) % voters;
@@ -153,7 +153,7 @@
 
 TEST_CASE("Without a machine that could take its place no voter is removed, however long it is silent") {
   ForEachGroup([&](std::size_t voters, std::uint64_t seed) {
-    Group group(voters, seed);
+    ReplicatedStateMachine group(voters, seed);
     const std::size_t gone = (group.AwaitLeader() + 1) % voters;
     group.cluster.PowerOff(gone);
     group.cluster.Run(30 * kSecond);
@@ -165,7 +165,7 @@
 
 TEST_CASE("A voter that was replaced while it stood still is no harm, and is taken in again when needed") {
   ForEachGroup([&](std::size_t voters, std::uint64_t seed) {
-    Group group(voters, seed);
+    ReplicatedStateMachine group(voters, seed);
     group.StartSpares();
     group.cluster.Run(kSecond);
     const std::size_t frozen = group.AwaitLeader();
@@ -184,7 +184,7 @@
   for (Micros after = 0; after < 300'000; after += Cluster::kStep)
     for (const std::size_t voters : {3, 5}) {
       INFO("group of " << voters << ", dies after " << after << " us");
-      Group group(voters, 1 + static_cast<std::uint64_t>(after));
+      ReplicatedStateMachine group(voters, 1 + static_cast<std::uint64_t>(after));
       const std::size_t spare = group.spare(0);
       const std::size_t leaving = (group.AwaitLeader() + 1) % voters;
       group.cluster.Start(spare);
@@ -202,7 +202,7 @@
 
 TEST_CASE("What only a leaving member and one other hold is not lost with it") {
   ForEachGroup([&](std::size_t voters, std::uint64_t seed) {
-    Group group(voters, seed);
+    ReplicatedStateMachine group(voters, seed);
     const std::size_t leader = group.AwaitLeader();
     const std::size_t majority = voters / 2 + 1;
     // The rest of the group hears nothing, while a bare majority takes a change in.
@@ -223,7 +223,7 @@
 
 TEST_CASE("Lost disks of as many machines as may be lost: all vote again before others are lost") {
   ForEachGroup([&](std::size_t voters, std::uint64_t seed) {
-    Group group(voters, seed);
+    ReplicatedStateMachine group(voters, seed);
     const std::size_t leader = group.AwaitLeader();
     for (std::size_t i = 0; i < group.tolerated(); ++i) {
       const std::size_t victim = (leader + i) % voters;
@@ -240,7 +240,7 @@
 
 // Asked to be taken in, and then gone: a leader that sent to all that ever asked would have more with each.
 TEST_CASE("A learner that is gone for good is sent nothing any more") {
-  Group group(3, 1);
+  ReplicatedStateMachine group(3, 1);
   group.StartSpares();
   group.cluster.Run(kSecond);
   group.cluster.PowerOff(group.spare(0));
--- a/tests/control/consensus/replica_test.cpp
+++ b/tests/control/consensus/replica_test.cpp
@@ -54,7 +54,7 @@
   cluster.Propose(old, "lost");
   cluster.Run(3 * kSecond);
   CHECK_FALSE(cluster.machine(old).replica->HasLease(cluster.now()));
-  CHECK_FALSE(cluster.machine(old).replica->InTouch(cluster.now()));
+  CHECK_FALSE(cluster.machine(old).replica->HasQuorumContact(cluster.now()));
   CHECK(cluster.acknowledged().count("lost") == 0);
   Commit(cluster, "kept");
   cluster.Heal();
--- a/tests/control/consensus/replication_test.cpp
+++ b/tests/control/consensus/replication_test.cpp
@@ -142,7 +142,7 @@
   const std::size_t leader = AwaitLeader(cluster);
   const std::size_t follower = (leader + 1) % 3;
   cluster.Run(kSecond);
-  REQUIRE(cluster.machine(follower).replica->InTouch(cluster.now()));
+  REQUIRE(cluster.machine(follower).replica->HasQuorumContact(cluster.now()));
   cluster.Freeze(follower, 20 * kSecond);
   cluster.Run(kSecond / 2);
   cluster.PowerOff(leader);
@@ -150,7 +150,7 @@
   cluster.Run(20 * kSecond - kSecond / 2);
   for (int i = 0; i < 100; ++i) {
     cluster.Run(Cluster::kStep);
-    CHECK_FALSE(cluster.machine(follower).replica->InTouch(cluster.now()));
+    CHECK_FALSE(cluster.machine(follower).replica->HasQuorumContact(cluster.now()));
   }
 }
 
--- a/tests/control/digest_test.cpp
+++ b/tests/control/digest_test.cpp
@@ -25,8 +25,8 @@
 namespace {
 
 using nlohmann::json;
-using testing::Letter;
 using testing::VirtualSystem;
+using testing::WireMessage;
 
 constexpr std::int64_t kSecond = 1'000'000;
 constexpr std::uint64_t kSystemSeeds = 200;
@@ -89,8 +89,8 @@
   kCount
 };
 
-// One drawn life of a system: an operator who changes the configuration, servers that load models and leave,
-// sidecars that report demand, and one kind of fault, which comes several times.
+// One drawn life of a system: an operator who changes the configuration, servers that load models and
+// leave, sidecars that report demand, and one kind of fault, which comes several times.
 class DrawnLife {
  public:
   DrawnLife(std::uint64_t seed, Digest& digest)
@@ -129,11 +129,11 @@
   };
 
   void Observe() {
-    system_.on_message = [this](const Letter& letter) {
-      digest_.Add(letter.path);
-      digest_.Add(letter.answer ? 1 : 0);
-      digest_.Add(letter.copies);
-      digest_.Add(letter.body);
+    system_.on_message = [this](const WireMessage& message) {
+      digest_.Add(message.path);
+      digest_.Add(message.answer ? 1 : 0);
+      digest_.Add(message.copies);
+      digest_.Add(message.body);
     };
     system_.on_write = [this](std::size_t control, const ShardWrite& write) {
       digest_.Add(static_cast<std::int64_t>(control));
@@ -153,12 +153,12 @@
       });
     };
     if (fault_ > Fault::kDamage) return;
-    system_.tamper = [this](Letter& letter) {
+    system_.tamper = [this](WireMessage& message) {
       if (fault_ == Fault::kNone || random_.Below(12) != 0) return;
-      if (fault_ == Fault::kLoss) letter.copies = 0;
-      if (fault_ == Fault::kDuplication) letter.copies = 2;
-      if (fault_ == Fault::kDelay) letter.held_up = static_cast<std::int64_t>(random_.Below(900'000));
-      if (fault_ == Fault::kDamage) letter.body.resize(random_.Below(letter.body.size() + 1));
+      if (fault_ == Fault::kLoss) message.copies = 0;
+      if (fault_ == Fault::kDuplication) message.copies = 2;
+      if (fault_ == Fault::kDelay) message.held_up = static_cast<std::int64_t>(random_.Below(900'000));
+      if (fault_ == Fault::kDamage) message.body.resize(random_.Below(message.body.size() + 1));
     };
   }
 
@@ -274,35 +274,36 @@
 void AddChoices(std::uint64_t seed, Digest& digest) {
   constexpr int kRequests = 400;
   const Directory directory = testing::ModelServers(10, static_cast<int>(seed % 3), 3);
-  Chooser chooser(seed);
-  chooser.SetNear("zone", [](const std::string& id) { return id.back() % 2 == 0; });
+  LoadBalancer load_balancer(seed);
+  load_balancer.SetNear("zone", [](const std::string& id) { return id.back() % 2 == 0; });
   Random random(seed, "choices");
   std::int64_t now = kSecond;
-  std::vector<std::pair<std::string, Chooser::Wish>> open;
+  std::vector<std::pair<std::string, LoadBalancer::RequestAttributes>> open;
   std::vector<PromptPart> parts{{"p", 300}, {"q", 200}};
   for (int i = 0; i < kRequests; ++i) {
     now += static_cast<std::int64_t>(random.Below(80'000));
-    Chooser::Wish wish;
-    wish.model = "m";
-    wish.parts = &parts;
-    wish.tokens = 100.0 + static_cast<double>(random.Below(2000));
-    const Instance* server = chooser.Choose(directory.Servers("s"), directory, wish, now);
+    LoadBalancer::RequestAttributes attributes;
+    attributes.model = "m";
+    attributes.parts = &parts;
+    attributes.tokens = 100.0 + static_cast<double>(random.Below(2000));
+    const Instance* server = load_balancer.Choose(directory.Servers("s"), directory, attributes, now);
     digest.Add(server == nullptr ? std::string() : server->id);
     if (server != nullptr) {
-      chooser.OnSent(server->id, wish, now);
-      open.emplace_back(server->id, wish);
+      load_balancer.OnSent(server->id, attributes, now);
+      open.emplace_back(server->id, attributes);
     }
     if (open.size() < 4) continue;
     const std::size_t at = random.Below(open.size());
     const auto [id, sent] = open[at];
     open.erase(open.begin() + static_cast<std::ptrdiff_t>(at));
     const bool answered = random.Below(4) != 0;
-    if (answered) chooser.OnFirstByte(id, sent, random.Below(8) != 0, now);
+    if (answered) load_balancer.OnFirstByte(id, sent, random.Below(8) != 0, now);
     if (random.Below(3) == 0)
-      chooser.OnLoad(id, {static_cast<int>(random.Below(4)), static_cast<int>(random.Below(3)), 4}, now);
+      load_balancer.OnLoad(id, {static_cast<int>(random.Below(4)), static_cast<int>(random.Below(3)), 4},
+                           now);
     const auto result = answered ? AttemptResult::kServed : static_cast<AttemptResult>(random.Below(8));
-    chooser.OnEnd(id, result, sent, answered, now);
-    if (i % 16 == 0) digest.Add(Encode(chooser.TakeReport()));
+    load_balancer.OnEnd(id, result, sent, answered, now);
+    if (i % 16 == 0) digest.Add(Encode(load_balancer.TakeReport()));
   }
 }
 
--- a/tests/control/instances/instances_test.cpp
+++ b/tests/control/instances/instances_test.cpp
@@ -25,12 +25,13 @@
 // One exchange: `to` takes what it misses from `from`.
 void Exchange(const InstanceTable& from, InstanceTable& to, std::int64_t now) {
   to.Merge(from.ChangedSince(to.known()), now);
-  for (const Heard& heard : from.HeardSince(0, now)) to.Hear(heard, now);
+  for (const LastSeen& heard : from.HeardSince(0, now)) to.Hear(heard, now);
 }
 
 // The table is looked at all the time; a long pause would say that the process stood still.
-void Pass(InstanceTable& table, std::int64_t& now, std::int64_t span, bool in_touch = true) {
-  for (const std::int64_t until = now + span; now < until;) table.Expire(now += kSecond / 10, in_touch);
+void Pass(InstanceTable& table, std::int64_t& now, std::int64_t span, bool has_quorum_contact = true) {
+  for (const std::int64_t until = now + span; now < until;)
+    table.Expire(now += kSecond / 10, has_quorum_contact);
 }
 
 }  // namespace
@@ -42,16 +43,16 @@
   CHECK_FALSE(table.Heartbeat(Server("i", 4), kSecond));
   CHECK(table.Heartbeat(Server("i", 6), kSecond));
   CHECK(PhaseOf(table, "i") == Phase::kDraining);
-  table.Leave("i", Phase::kGone, kSecond);
+  table.Leave("i", Phase::kDeregistered, kSecond);
   table.Leave("i", Phase::kDraining, kSecond);
-  CHECK(PhaseOf(table, "i") == Phase::kGone);
+  CHECK(PhaseOf(table, "i") == Phase::kDeregistered);
 }
 
 TEST_CASE("A server at the address of another one has taken its place") {
   InstanceTable table("a", kLostAfter);
   table.Heartbeat(Server("old", 5), kSecond);
   table.Heartbeat(Server("new", 1), 2 * kSecond);
-  CHECK(PhaseOf(table, "old") == Phase::kGone);
+  CHECK(PhaseOf(table, "old") == Phase::kDeregistered);
   CHECK(PhaseOf(table, "new") == Phase::kReady);
 }
 
@@ -140,24 +141,24 @@
   }
 }
 
-TEST_CASE("Departures outlive the process that took them") {
-  Departures departures;
-  departures.Apply("i", Phase::kDraining);
-  departures.Apply("j", Phase::kGone);
-  departures.Apply("j", Phase::kDraining);
-  Departures loaded;
-  loaded.Load(departures.Save());
+TEST_CASE("Deregistrations outlive the process that took them") {
+  Deregistrations deregistrations;
+  deregistrations.Apply("i", Phase::kDraining);
+  deregistrations.Apply("j", Phase::kDeregistered);
+  deregistrations.Apply("j", Phase::kDraining);
+  Deregistrations loaded;
+  loaded.Load(deregistrations.Save());
   CHECK(loaded.Find("i") == Phase::kDraining);
-  CHECK(loaded.Find("j") == Phase::kGone);
+  CHECK(loaded.Find("j") == Phase::kDeregistered);
   CHECK_FALSE(loaded.Find("k").has_value());
 }
 
-TEST_CASE("Departures are bounded, the oldest are forgotten first") {
-  Departures departures;
-  for (int i = 0; i < 5000; ++i) departures.Apply(std::to_string(i), Phase::kGone);
-  CHECK(departures.all().size() == 4000);
-  CHECK_FALSE(departures.Find("0").has_value());
-  CHECK(departures.Find("4999").has_value());
+TEST_CASE("Deregistrations are bounded, the oldest are forgotten first") {
+  Deregistrations deregistrations;
+  for (int i = 0; i < 5000; ++i) deregistrations.Apply(std::to_string(i), Phase::kDeregistered);
+  CHECK(deregistrations.all().size() == 4000);
+  CHECK_FALSE(deregistrations.Find("0").has_value());
+  CHECK(deregistrations.Find("4999").has_value());
 }
 
 }  // namespace violetwing
--- a/tests/control/linearizability_test.cpp
+++ b/tests/control/linearizability_test.cpp
@@ -13,7 +13,6 @@
 namespace {
 
 using nlohmann::json;
-using Micros = VirtualSystem::Micros;
 
 constexpr Micros kSecond = 1'000'000;
 constexpr auto kChange = OperationKind::kChange;
--- a/tests/control/replication/commands_test.cpp
+++ b/tests/control/replication/commands_test.cpp
@@ -22,8 +22,8 @@
   CHECK(change.body == bytes);
   const auto read = DecodeConfigurationCommand(Encode(ConfigurationCommand(ReadCommand{})));
   CHECK(std::holds_alternative<ReadCommand>(read.value()));
-  for (const Phase phase : {Phase::kDraining, Phase::kGone})
-    CHECK(DecodeDepartureCommand(Encode(DepartureCommand{"i-1", phase}))->phase == phase);
+  for (const Phase phase : {Phase::kDraining, Phase::kDeregistered})
+    CHECK(DecodeDepartureCommand(Encode(DeregistrationCommand{"i-1", phase}))->phase == phase);
 }
 
 TEST_CASE("Commands that earlier versions wrote in JSON are read") {
@@ -32,9 +32,9 @@
   CHECK(std::holds_alternative<ReadCommand>(DecodeConfigurationCommand(envelope.command).value()));
   const auto command = DecodeConfigurationCommand(R"({"patch":false,"base":3,"body":"{}"})");
   CHECK(std::get<Change>(command.value()).base == 3);
-  const DepartureCommand departure = DecodeDepartureCommand(R"({"id":"i-1","phase":"gone"})").value();
+  const DeregistrationCommand departure = DecodeDepartureCommand(R"({"id":"i-1","phase":"gone"})").value();
   CHECK(departure.id == "i-1");
-  CHECK(departure.phase == Phase::kGone);
+  CHECK(departure.phase == Phase::kDeregistered);
 }
 
 TEST_CASE("What is no command is refused") {
--- a/tests/control/replication/replicated_state_machine_test.cpp
+++ b/tests/control/replication/replicated_state_machine_test.cpp
@@ -12,8 +12,6 @@
 namespace violetwing {
 namespace {
 
-using consensus::Micros;
-
 // Answers each command with itself.
 class EchoMachine : public StateMachine {
  public:
@@ -22,19 +20,21 @@
   void Load(const std::string&) override {}
 };
 
-// A process with the one replica of a shard. Its clock begins anew with each life, as after a loss of power.
+// A process with the one replica of a shard. Its clock begins anew with each incarnation, as after a loss of
+// power.
 class Process {
  public:
-  Process(std::string life, consensus::StoredState& disk)
-      : disk_(disk), group_(1, std::move(life), MakeReplica(disk), machine_, Outputs()) {
+  Process(std::string incarnation, consensus::StoredState& disk)
+      : disk_(disk), group_(1, std::move(incarnation), MakeReplica(disk), machine_, Outputs()) {
     group_.Start();
   }
 
   void Call(const std::string& command, std::optional<std::string>& answer) {
     group_.Call(command, kNow, 1'000'000, [&answer](const std::optional<std::string>& got) { answer = got; });
   }
-  void CallOnce(const std::string& name, const std::string& command, std::vector<std::string>& answers) {
-    group_.CallOnce(
+  void SubmitIdempotent(const std::string& name, const std::string& command,
+                        std::vector<std::string>& answers) {
+    group_.SubmitIdempotent(
         name, command, kNow, {1'000'000, 1'000'000},
         [&answers](const std::optional<std::string>& got) { answers.push_back(got.value_or("")); });
   }
@@ -61,8 +61,8 @@
   static consensus::Replica MakeReplica(const consensus::StoredState& disk) {
     return {"disk", {{"disk", "here:1"}}, disk, consensus::Timing{}, 1, kNow};
   }
-  Group::Outputs Outputs() {
-    Group::Outputs outputs;
+  ReplicatedStateMachine::Outputs Outputs() {
+    ReplicatedStateMachine::Outputs outputs;
     outputs.send = [](int, const consensus::Message&) {};
     outputs.forward = [](int, const consensus::Member&, const std::string&) {};
     outputs.write = [this](ShardWrite write, std::uint64_t token) {
@@ -78,22 +78,22 @@
   EchoMachine machine_;
   std::deque<std::pair<ShardWrite, std::uint64_t>> writes_;
   std::uint64_t token_ = 0;
-  Group group_;
+  ReplicatedStateMachine group_;
 };
 
 }  // namespace
 
-TEST_CASE("The answer to a command of a process's earlier life is not given to a caller of this one") {
+TEST_CASE("The answer to a command of a process's earlier incarnation is not given to a caller of this one") {
   consensus::StoredState disk;
   std::optional<std::string> ignored;
   {
-    Process process("life 1", disk);
+    Process process("incarnation 1", disk);
     process.Elect();
     process.Call("earlier", ignored);
     process.WriteAll();
   }
   REQUIRE(disk.entries.size() >= 2);
-  Process process("life 2", disk);
+  Process process("incarnation 2", disk);
   std::optional<std::string> answer;
   process.Call("later", answer);
   process.Elect();
@@ -103,18 +103,18 @@
 
 TEST_CASE("A call that comes again while its command is under way joins it, also from another process") {
   consensus::StoredState disk;
-  Process process("life", disk);
+  Process process("incarnation", disk);
   process.Elect();
   const std::size_t before = process.logged();
   std::vector<std::string> answers;
-  process.CallOnce("change", "large", answers);
-  process.CallOnce("change", "large", answers);
+  process.SubmitIdempotent("change", "large", answers);
+  process.SubmitIdempotent("change", "large", answers);
   process.Forward("change", "large");
   CHECK(process.logged() == before + 1);
   process.WriteAll();
   CHECK(answers == std::vector<std::string>{"large", "large"});
   // Once it has been applied, the same call is a new command: it tells what stands then.
-  process.CallOnce("change", "large", answers);
+  process.SubmitIdempotent("change", "large", answers);
   process.WriteAll();
   CHECK(process.logged() == before + 2);
   CHECK(answers.size() == 3);
--- a/tests/control/system_test.cpp
+++ b/tests/control/system_test.cpp
@@ -15,9 +15,8 @@
 
 using nlohmann::json;
 using testing::Document;
-using testing::Letter;
 using testing::VirtualSystem;
-using Micros = VirtualSystem::Micros;
+using testing::WireMessage;
 
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kHeartbeat = 500'000;
@@ -161,17 +160,18 @@
   Server leaves_;
 };
 
-const char* const kPaths[] = {kExchangePath, kPullPath};
+const char* const kPaths[] = {kExchangePath, kWatchPath};
 // Changes the n-th message of a path and direction. Early messages elect and join, later ones carry the
 // changes and the drain.
 constexpr int kPlaces[] = {0, 1, 2, 5, 12, 25, 60};
 
-void PlayTampered(const std::string& path, bool answer, int at, const std::function<void(Letter&)>& change) {
+void PlayTampered(const std::string& path, bool answer, int at,
+                  const std::function<void(WireMessage&)>& change) {
   INFO(path << (answer ? " answer " : " call ") << at);
   Play play;
   int seen = 0;
-  play.system.tamper = [&](Letter& letter) {
-    if (letter.path == path && letter.answer == answer && seen++ == at) change(letter);
+  play.system.tamper = [&](WireMessage& message) {
+    if (message.path == path && message.answer == answer && seen++ == at) change(message);
   };
   play.Whole();
   // Late ones come after that; all goes on behind them.
@@ -204,11 +204,12 @@
   for (const char* path : kPaths)
     for (const bool answer : {false, true})
       for (const int at : kPlaces) {
-        PlayTampered(path, answer, at, [](Letter& letter) { letter.copies = 0; });
-        PlayTampered(path, answer, at, [](Letter& letter) { letter.copies = 2; });
-        PlayTampered(path, answer, at, [](Letter& letter) { letter.held_up = 300'000; });
-        PlayTampered(path, answer, at, [](Letter& letter) { letter.held_up = 2 * kSecond; });
-        PlayTampered(path, answer, at, [](Letter& letter) { letter.body.resize(letter.body.size() / 2); });
+        PlayTampered(path, answer, at, [](WireMessage& message) { message.copies = 0; });
+        PlayTampered(path, answer, at, [](WireMessage& message) { message.copies = 2; });
+        PlayTampered(path, answer, at, [](WireMessage& message) { message.held_up = 300'000; });
+        PlayTampered(path, answer, at, [](WireMessage& message) { message.held_up = 2 * kSecond; });
+        PlayTampered(path, answer, at,
+                     [](WireMessage& message) { message.body.resize(message.body.size() / 2); });
       }
 }
 
@@ -223,14 +224,15 @@
     const google::protobuf::Message& form;
   };
   for (const Kind& kind : {Kind{kExchangePath, false, exchange}, Kind{kExchangePath, true, exchanged},
-                           Kind{kPullPath, false, pull}, Kind{kPullPath, true, pulled}})
+                           Kind{kWatchPath, false, pull}, Kind{kWatchPath, true, pulled}})
     for (const auto* field : testing::FieldsOf(kind.form))
       for (const int at : {1, 12, 40}) {
         INFO("field " << field->full_name());
-        PlayTampered(kind.path, kind.answer, at,
-                     [&](Letter& letter) { letter.body = testing::Without(kind.form, field, letter.body); });
-        PlayTampered(kind.path, kind.answer, at, [&](Letter& letter) {
-          letter.body = testing::WithOtherType(kind.form, field, letter.body);
+        PlayTampered(kind.path, kind.answer, at, [&](WireMessage& message) {
+          message.body = testing::Without(kind.form, field, message.body);
+        });
+        PlayTampered(kind.path, kind.answer, at, [&](WireMessage& message) {
+          message.body = testing::WithOtherType(kind.form, field, message.body);
         });
       }
 }
@@ -282,11 +284,11 @@
   Play play;
   play.Configure(3, 0);
   bool lost = false;
-  play.system.tamper = [&](Letter& letter) {
-    if (lost || letter.path != kExchangePath || letter.answer) return;
-    if (Decode<ExchangeRequest>(letter.body).value().proposals.empty()) return;
+  play.system.tamper = [&](WireMessage& message) {
+    if (lost || message.path != kExchangePath || message.answer) return;
+    if (Decode<ExchangeRequest>(message.body).value().proposals.empty()) return;
     lost = true;
-    letter.copies = 0;
+    message.copies = 0;
   };
   int status = 0;
   const Micros silence = std::exchange(play.system.silence, 2 * kSecond);
@@ -411,34 +413,34 @@
   ExchangeRequest request;
   request.from.node = "control-1";
   request.from.address = system.control(1).address;
-  request.source = "life of 1";
+  request.source = "incarnation of 1";
   request.changed = {server};
   return request;
 }
 
 }  // namespace
 
-// The other process takes a restarted one for its life before, and leaves out what that one knew. Its vector
-// said then that it knew all of it, and no process ever told it of a drain that it had missed.
-TEST_CASE("Cores: changes that go by the knowledge of an earlier life are not taken") {
+// The other process takes a restarted one for its incarnation before, and leaves out what that one knew. Its
+// vector said then that it knew all of it, and no process ever told it of a drain that it had missed.
+TEST_CASE("Cores: changes that go by the knowledge of an earlier incarnation are not taken") {
   VirtualSystem system(3, 1, 1);
   system.Run(kSecond);
   ControlCore& core = *system.control(0).core;
   ExchangeRequest request = TellOf(system, "i-1", Phase::kReady);
-  request.changed_for = "life before";
+  request.changed_for = "incarnation before";
   const ExchangeReply refused = core.Exchange(request, system.now());
   CHECK(refused.known.count("another") == 0);
   request.changed_for = refused.source;
   CHECK(core.Exchange(request, system.now()).known.at("another") == 5);
 }
 
-TEST_CASE("Cores: an exchange that tells changes names the life by whose knowledge they go") {
+TEST_CASE("Cores: an exchange that tells changes names the incarnation by whose knowledge they go") {
   Play play;
   int told = 0;
   int unnamed = 0;
-  play.system.tamper = [&](Letter& letter) {
-    if (letter.path != kExchangePath || letter.answer) return;
-    const ExchangeRequest request = Decode<ExchangeRequest>(letter.body).value();
+  play.system.tamper = [&](WireMessage& message) {
+    if (message.path != kExchangePath || message.answer) return;
+    const ExchangeRequest request = Decode<ExchangeRequest>(message.body).value();
     if (request.changed.empty()) return;
     ++told;
     unnamed += request.changed_for.empty() ? 1 : 0;
@@ -468,9 +470,9 @@
   system.Run(2 * kSecond);
   int answers = 0;
   int telling = 0;
-  system.tamper = [&](Letter& letter) {
+  system.tamper = [&](WireMessage& message) {
     const auto reply =
-        letter.path == kExchangePath && letter.answer ? Decode<ExchangeReply>(letter.body) : std::nullopt;
+        message.path == kExchangePath && message.answer ? Decode<ExchangeReply>(message.body) : std::nullopt;
     if (!reply) return;
     ++answers;
     telling += reply->controls.empty() ? 0 : 1;
@@ -493,13 +495,13 @@
   REQUIRE(system.RunUntil([&] { return status == 200; }, 3 * kSecond));
   system.Run(kSecond);
   ControlCore& core = *system.control(0).core;
-  REQUIRE(core.shards().Departed("i-1") == Phase::kGone);  // and it has heard of no such server
+  REQUIRE(core.shards().Deregistered("i-1") == Phase::kDeregistered);  // and it has heard of no such server
   core.Exchange(TellOf(system, "i-1", Phase::kReady), system.now());
   ExchangeRequest asking = TellOf(system, "i-1", Phase::kReady);
   asking.changed.clear();
   const ExchangeReply reply = core.Exchange(asking, system.now());
   REQUIRE(reply.changed.size() == 1);
-  CHECK(reply.changed[0].phase == Phase::kGone);
+  CHECK(reply.changed[0].phase == Phase::kDeregistered);
 }
 
 // A sidecar that asks again while servers have changed meanwhile was answered each time, as fast as it could
@@ -510,9 +512,9 @@
   VirtualSystem system(3, kSidecars, 1);
   system.Run(3 * kSecond);
   std::map<std::string, int> answers;
-  system.tamper = [&](Letter& letter) {
-    if (letter.path != kPullPath || !letter.answer) return;
-    if (const auto answer = Decode<PullReply>(letter.body)) ++answers[std::to_string(answer->number)];
+  system.tamper = [&](WireMessage& message) {
+    if (message.path != kWatchPath || !message.answer) return;
+    if (const auto answer = Decode<WatchReply>(message.body)) ++answers[std::to_string(answer->number)];
   };
   const Micros begin = system.now();
   for (int sequence = 1; system.now() < begin + 4 * kSecond; ++sequence) {
@@ -539,18 +541,18 @@
   play.AwaitServers(2);
   play.system.Run(2 * kSecond);
   ControlCore& core = *play.system.control(0).core;
-  std::optional<PullReply> reply;
-  PullRequest request;
+  std::optional<WatchReply> reply;
+  WatchRequest request;
   request.node = "edge-2";
   const auto pull = [&] {
     reply.reset();
-    core.Pull(request, play.system.now(), [&](const std::optional<PullReply>& got) { reply = got; });
+    core.Pull(request, play.system.now(), [&](const std::optional<WatchReply>& got) { reply = got; });
     REQUIRE(reply.has_value());
     CHECK(reply->whole);
     CHECK(reply->changed.size() == 2);
   };
   pull();
-  request.source = "the life of another process";
+  request.source = "the incarnation of another process";
   request.known = reply->known;
   pull();
 }
--- a/tests/control/worst_days_test.cpp
+++ b/tests/control/worst_days_test.cpp
@@ -14,7 +14,6 @@
 using nlohmann::json;
 using testing::Document;
 using testing::VirtualSystem;
-using Micros = VirtualSystem::Micros;
 
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kCallerWaits = kSecond;  // for an answer, before it goes elsewhere
@@ -206,9 +205,9 @@
   day.Configure(0, Document(1));
   day.system.Run(kSecond);
   int documents = 0;
-  day.system.tamper = [&](testing::Letter& letter) {
-    if (letter.path != kPullPath || !letter.answer) return;
-    const auto answer = Decode<PullReply>(letter.body);
+  day.system.tamper = [&](testing::WireMessage& message) {
+    if (message.path != kWatchPath || !message.answer) return;
+    const auto answer = Decode<WatchReply>(message.body);
     documents += answer && !answer->document.empty();
   };
   const Micros from = day.system.now();
--- a/tests/dataplane/control_client/control_link_test.cpp
+++ b/tests/dataplane/control_client/control_link_test.cpp
@@ -36,8 +36,8 @@
 }
 
 // The answer that a control process gives when nothing is wrong.
-PullReply Good(std::int64_t version, const Instance& instance) {
-  PullReply reply;
+WatchReply Good(std::int64_t version, const Instance& instance) {
+  WatchReply reply;
   reply.source = "control";
   reply.configuration = version;
   reply.document = Document(version);
@@ -97,7 +97,7 @@
 };
 
 std::string Ok(const std::string& body) { return Reply("200 OK", body); }
-std::string Ok(const PullReply& reply) { return Ok(Encode(reply)); }
+std::string Ok(const WatchReply& reply) { return Ok(Encode(reply)); }
 
 }  // namespace
 
@@ -112,7 +112,7 @@
 
 TEST_CASE("An answer with a field changed or missing changes nothing that it should not") {
   const wire::PullReply form;
-  PullReply good = Good(9, Server(Phase::kReady, 2, 2));
+  WatchReply good = Good(9, Server(Phase::kReady, 2, 2));
   good.document = "{";  // so that none of these is a good answer
   const std::string bytes = Encode(good);
   std::vector<std::string> changed = {
@@ -133,7 +133,7 @@
 }
 
 TEST_CASE("A patch that names an item by something that is no name is passed over") {
-  PullReply odd = Good(6, Server(Phase::kReady, 2, 2));
+  WatchReply odd = Good(6, Server(Phase::kReady, 2, 2));
   odd.document.clear();
   odd.patches = {R"({"version":6,"delete":{"routes":[7]}})"};
   Link link;
@@ -150,7 +150,7 @@
 }
 
 TEST_CASE("A whole list replaces what another control process had told, but not that a server leaves") {
-  PullReply whole = Good(5, Server(Phase::kReady, 3, 1));
+  WatchReply whole = Good(5, Server(Phase::kReady, 3, 1));
   whole.source = "another";
   whole.whole = true;
   Link lost;
--- a/tests/dataplane/dataplane_test.cpp
+++ b/tests/dataplane/dataplane_test.cpp
@@ -52,14 +52,14 @@
   Sidecar()
       : plane{io,
               std::make_shared<const Directory>(),
-              Chooser(1),
+              LoadBalancer(1),
               RetryBudget(1, 100, 10, -100'000'000),
               UpstreamPool(io),
               Random(1),
               nullptr,
               {}},
         ingress(io, [this](const ClientPtr& client, ClientRequest request) {
-          std::make_shared<Forwarder>(plane, client, std::move(request))->Start();
+          std::make_shared<RequestRouter>(plane, client, std::move(request))->Start();
         }) {
     boost::asio::ip::tcp::acceptor free(io, {boost::asio::ip::make_address("127.0.0.1"), 0});
     endpoint = free.local_endpoint();
@@ -312,7 +312,7 @@
   REQUIRE(sidecar.Until([&] { return server.requests() == 1; }));
   client->Close();
   REQUIRE(sidecar.Until([&] { return server.peers[0]->ended; }));
-  CHECK(sidecar.plane.chooser.InFlight("i-0") == 0);
+  CHECK(sidecar.plane.load_balancer.InFlight("i-0") == 0);
 }
 
 TEST_CASE("A request whose time is over gets its answer, and its server is let go") {
--- a/tests/dataplane/load_balancing/load_report_test.cpp
+++ b/tests/dataplane/load_balancing/load_report_test.cpp
@@ -18,12 +18,12 @@
 
 constexpr std::int64_t kSecond = 1'000'000;
 
-Chooser::Wish Wish(const std::vector<PromptPart>& parts) {
-  Chooser::Wish wish;
-  wish.model = "m";
-  wish.parts = &parts;
-  for (const PromptPart& part : parts) wish.tokens += part.tokens;
-  return wish;
+LoadBalancer::RequestAttributes RequestAttributes(const std::vector<PromptPart>& parts) {
+  LoadBalancer::RequestAttributes attributes;
+  attributes.model = "m";
+  attributes.parts = &parts;
+  for (const PromptPart& part : parts) attributes.tokens += part.tokens;
+  return attributes;
 }
 
 std::string FreeAddress(boost::asio::io_context& io) {
@@ -33,21 +33,22 @@
 
 // A sidecar's choices, whose reports go to others by the test's hand.
 struct Sidecar {
-  explicit Sidecar(std::uint64_t seed) : chooser(seed) {
-    chooser.SetOnNews([this](bool heavy) { heavy_news += heavy ? 1 : 0; });
+  explicit Sidecar(std::uint64_t seed) : load_balancer(seed) {
+    load_balancer.SetOnNews([this](bool heavy) { heavy_news += heavy ? 1 : 0; });
   }
   std::string Choose(const std::vector<PromptPart>& parts) {
-    const Chooser::Wish wish = Wish(parts);
-    return chooser.Choose(directory.Holders("s", "m", ""), directory, wish, kSecond)->id;
+    const LoadBalancer::RequestAttributes attributes = RequestAttributes(parts);
+    return load_balancer.Choose(directory.Holders("s", "m", ""), directory, attributes, kSecond)->id;
   }
   std::string Send(const std::vector<PromptPart>& parts, std::int64_t now) {
-    Chooser::Wish wish = Wish(parts);
-    const Instance* instance = chooser.Choose(directory.Holders("s", "m", ""), directory, wish, now);
+    LoadBalancer::RequestAttributes attributes = RequestAttributes(parts);
+    const Instance* instance =
+        load_balancer.Choose(directory.Holders("s", "m", ""), directory, attributes, now);
     REQUIRE(instance != nullptr);
-    chooser.OnSent(instance->id, wish, now);
+    load_balancer.OnSent(instance->id, attributes, now);
     return instance->id;
   }
-  Chooser chooser;
+  LoadBalancer load_balancer;
   Directory directory = testing::ModelServers(3, 0, 1);
   int heavy_news = 0;
 };
@@ -55,7 +56,7 @@
 }  // namespace
 
 TEST_CASE("What a server has to read adds up, and goes down as time passes") {
-  ReadBacklog backlog;
+  PrefillQueue backlog;
   backlog.OnSent("i-0", 200, kSecond);
   backlog.OnSent("i-0", 100, kSecond + 50'000);
   CHECK(backlog.WaitMs("i-0", kSecond + 50'000) == Approx(250));
@@ -67,7 +68,7 @@
 }
 
 TEST_CASE("A first byte shows that its prompt and those before it were read, sooner or later than expected") {
-  ReadBacklog backlog;
+  PrefillQueue backlog;
   backlog.OnSent("i-0", 200, kSecond);
   backlog.OnSent("i-0", 300, kSecond + 1);
   backlog.OnSent("i-0", 50, kSecond + 2);
@@ -81,7 +82,7 @@
 }
 
 TEST_CASE("What was sent long ago is forgotten") {
-  ReadBacklog backlog;
+  PrefillQueue backlog;
   backlog.OnSent("i-0", 200, kSecond);
   backlog.Expire(20 * kSecond);
   backlog.OnSent("i-0", 100, 20 * kSecond);
@@ -100,7 +101,7 @@
     REQUIRE(i < 100);
     parts = {{"b" + std::to_string(i), 6000}, {"own", 3000}};
   }
-  second.chooser.OnReport(first.chooser.TakeReport(), kSecond);
+  second.load_balancer.OnReport(first.load_balancer.TakeReport(), kSecond);
   CHECK(second.Choose(parts) != taken);
 }
 
@@ -110,9 +111,9 @@
   for (const char* id : {"i-0", "i-1", "i-2"}) {
     Sidecar first(1);
     Sidecar second(2);
-    Chooser::Wish wish = Wish(before);
-    first.chooser.OnSent(id, wish, kSecond);
-    second.chooser.OnReport(first.chooser.TakeReport(), kSecond);
+    LoadBalancer::RequestAttributes attributes = RequestAttributes(before);
+    first.load_balancer.OnSent(id, attributes, kSecond);
+    second.load_balancer.OnReport(first.load_balancer.TakeReport(), kSecond);
     CHECK(second.Send(after, 2 * kSecond) == id);
   }
 }
@@ -121,54 +122,55 @@
   Sidecar sidecar(1);
   const std::vector<PromptPart> parts{{"5c1e07a2", 800}, {"91bd3f06", 410}};
   const std::string taken = sidecar.Send(parts, kSecond);
-  LoadReport report = sidecar.chooser.TakeReport();
+  LoadReport report = sidecar.load_balancer.TakeReport();
   REQUIRE(report.prompts.size() == 1);
   CHECK(report.prompts[0].server == taken);
   CHECK(report.prompts[0].weights == "m");
   CHECK(report.prompts[0].parts == "5c1e07a2:800,91bd3f06:410");
   CHECK(report.prompts[0].read_ms > 0);
-  CHECK(sidecar.chooser.TakeReport().prompts.empty());
+  CHECK(sidecar.load_balancer.TakeReport().prompts.empty());
 
   Sidecar other(1);
   for (const double ms : {-1.0, 1e9}) {
     report.prompts[0].read_ms = ms;
-    other.chooser.OnReport(report, kSecond);
+    other.load_balancer.OnReport(report, kSecond);
   }
-  Chooser::Wish wish = Wish(parts);
-  other.chooser.OnSent(taken, wish, kSecond);
-  CHECK(wish.before_ms == 0);
+  LoadBalancer::RequestAttributes attributes = RequestAttributes(parts);
+  other.load_balancer.OnSent(taken, attributes, kSecond);
+  CHECK(attributes.before_ms == 0);
 }
 
 TEST_CASE("How fast a model's prompts are read is learnt from those that waited for little else") {
   Sidecar sidecar(1);
   const std::vector<PromptPart> parts{{"a", 4000}};
   const std::vector<PromptPart> others{{"b", 4000}};
-  Chooser::Wish first = Wish(parts);
-  sidecar.chooser.OnSent("i-0", first, kSecond);
-  Chooser::Wish second = Wish(others);
-  sidecar.chooser.OnSent("i-0", second, kSecond);
+  LoadBalancer::RequestAttributes first = RequestAttributes(parts);
+  sidecar.load_balancer.OnSent("i-0", first, kSecond);
+  LoadBalancer::RequestAttributes second = RequestAttributes(others);
+  sidecar.load_balancer.OnSent("i-0", second, kSecond);
   CHECK(second.before_ms == Approx(first.unread_ms));
-  Chooser::Wish third;
-  const auto first_byte = [&](const Chooser::Wish& wish, bool runs, std::int64_t after_ms) {
-    sidecar.chooser.OnFirstByte("i-0", wish, runs, kSecond + after_ms * 1000);
+  LoadBalancer::RequestAttributes third;
+  const auto first_byte = [&](const LoadBalancer::RequestAttributes& attributes, bool runs,
+                              std::int64_t after_ms) {
+    sidecar.load_balancer.OnFirstByte("i-0", attributes, runs, kSecond + after_ms * 1000);
   };
   const double unknown = first.unread_ms / first.unread_tokens;
   first_byte(second, true, 100);  // it waited for the first one
   first_byte(first, false, 40);   // refused
   first_byte(first, true, 10);    // too fast: it was kept there
-  sidecar.chooser.OnSent("i-1", third = Wish(others), kSecond);
+  sidecar.load_balancer.OnSent("i-1", third = RequestAttributes(others), kSecond);
   CHECK(third.unread_ms / third.unread_tokens == Approx(unknown));
   first_byte(first, true, 40);
-  sidecar.chooser.OnSent("i-2", third = Wish(others), kSecond);
+  sidecar.load_balancer.OnSent("i-2", third = RequestAttributes(others), kSecond);
   CHECK(third.unread_ms / third.unread_tokens == Approx(0.01));
 }
 
 TEST_CASE("Neighbors are the sidecars with the nearest numbers on both sides, the same at every process") {
-  Sidecars one;
-  Sidecars other;
+  SidecarRegistry one;
+  SidecarRegistry other;
   const auto address = [](int i) { return "10.0.0." + std::to_string(i) + ":7660"; };
   for (int i = 10; i < 60; ++i) one.Hear("edge-" + std::to_string(i), address(i), kSecond);
-  for (const HeardSidecar& heard : one.HeardSince(0, kSecond)) other.HearOf(heard, kSecond);
+  for (const SidecarLastSeen& heard : one.HeardSince(0, kSecond)) other.HearOf(heard, kSecond);
   const Neighbors neighbors = one.NeighborsOf("edge-30", kSecond);
   REQUIRE(neighbors.addresses.size() == 24);
   for (int i = 18; i <= 42; ++i) {
@@ -181,7 +183,7 @@
 }
 
 TEST_CASE("A sidecar has no neighbor twice, and none where it is alone or its neighbors take no reports") {
-  Sidecars sidecars;
+  SidecarRegistry sidecars;
   CHECK(sidecars.NeighborsOf("a", kSecond).addresses.empty());
   sidecars.Hear("a", "10.0.0.1:1", kSecond);
   CHECK(sidecars.NeighborsOf("a", kSecond).addresses.empty());
@@ -198,18 +200,18 @@
   Sidecar second(1);
   const std::vector<PromptPart> parts{{"a", 9000}};
   const std::string taken = first.Send(parts, kSecond);
-  second.chooser.SetReportWeight(3);
-  second.chooser.OnReport(first.chooser.TakeReport(), kSecond);
-  Chooser::Wish wish = Wish(parts);
-  second.chooser.OnSent(taken, wish, kSecond);
-  CHECK(wish.before_ms == Approx(9000 * 0.034 * 3).margin(3));
+  second.load_balancer.SetReportWeight(3);
+  second.load_balancer.OnReport(first.load_balancer.TakeReport(), kSecond);
+  LoadBalancer::RequestAttributes attributes = RequestAttributes(parts);
+  second.load_balancer.OnSent(taken, attributes, kSecond);
+  CHECK(attributes.before_ms == Approx(9000 * 0.034 * 3).margin(3));
 }
 
 TEST_CASE("Reports go over datagrams; what is no report is passed over") {
   boost::asio::io_context io;
   const std::string address = FreeAddress(io);
   Sidecar told(1);
-  LoadGossip receiver(io, "receiver", told.chooser);
+  LoadReportExchange receiver(io, "receiver", told.load_balancer);
   REQUIRE_FALSE(receiver.Start(address));
 
   boost::asio::ip::udp::socket stranger(io, {boost::asio::ip::make_address("127.0.0.1"), 0});
@@ -220,18 +222,19 @@
     stranger.send_to(boost::asio::buffer(text), to);
 
   Sidecar telling(1);
-  LoadGossip sender(io, "sender", telling.chooser);
+  LoadReportExchange sender(io, "sender", telling.load_balancer);
   REQUIRE_FALSE(sender.Start(FreeAddress(io)));
   sender.SetNeighbors({address, "not an address"});
   const std::vector<PromptPart> parts{{"a", 9000}};
   const std::vector<PromptPart> others{{"b", 9000}};
   const std::string taken = telling.Send(parts, SteadyMicros());
   const auto avoided = [&] {
-    Chooser::Wish wish = Wish(others);
+    LoadBalancer::RequestAttributes attributes = RequestAttributes(others);
     int to_taken = 0;
     for (int i = 0; i < 30; ++i) {
       const auto holders = told.directory.Holders("s", "m", "");
-      to_taken += told.chooser.Choose(holders, told.directory, wish, SteadyMicros())->id == taken ? 1 : 0;
+      to_taken +=
+          told.load_balancer.Choose(holders, told.directory, attributes, SteadyMicros())->id == taken ? 1 : 0;
     }
     return to_taken == 0;
   };
@@ -243,10 +246,10 @@
 TEST_CASE("An answer of a control process that knows of no neighbors is taken") {
   const wire::PullReply form;
   const auto without = [&](const char* field) {
-    return testing::Without(form, form.GetDescriptor()->FindFieldByName(field), Encode(PullReply()));
+    return testing::Without(form, form.GetDescriptor()->FindFieldByName(field), Encode(WatchReply()));
   };
   SystemView view("edge", "10.0.0.1:1");
-  PullReply reply = Decode<PullReply>(without("neighbors")).value();
+  WatchReply reply = Decode<WatchReply>(without("neighbors")).value();
   CHECK_FALSE(view.Take(reply));
   CHECK(view.neighbors().empty());
   reply.neighbors = {5, {"10.0.0.2:1"}};
@@ -256,7 +259,7 @@
   reply.neighbors = {5, {}};  // the same still
   CHECK_FALSE(view.Take(reply));
   CHECK(view.neighbors().size() == 1);
-  CHECK_FALSE(Decode<PullReply>(without("changed")));
+  CHECK_FALSE(Decode<WatchReply>(without("changed")));
 }
 
 }  // namespace violetwing
--- a/tests/dataplane/routing/routing_test.cpp
+++ b/tests/dataplane/routing/routing_test.cpp
@@ -21,7 +21,7 @@
 
 TEST_CASE("A sidecar that began at a seed of another zone asks its own zone's control process") {
   const std::vector<ControlNode> known{{"c1", "far", "far:1", ""}, {"c2", "near", "near:1", ""}};
-  ControlChoice choice("near", "edge-1");
+  ControlProcessSelector choice("near", "edge-1");
   choice.SetSeeds({"far:1"});
   REQUIRE(choice.Current({}) == "far:1");
   choice.OnAnswered(known, kSecond);
@@ -30,7 +30,7 @@
 
 TEST_CASE("After a failure in its own zone a sidecar asks elsewhere, and comes back some time later") {
   const std::vector<ControlNode> known{{"c1", "far", "far:1", ""}, {"c2", "near", "near:1", ""}};
-  ControlChoice choice("near", "edge-1");
+  ControlProcessSelector choice("near", "edge-1");
   REQUIRE(choice.Current(known) == "near:1");
   choice.OnFailed(known, kSecond);
   CHECK(choice.Current(known) == "far:1");
@@ -42,7 +42,7 @@
 
 TEST_CASE("Where the own zone has no control process, one that answers is kept") {
   const std::vector<ControlNode> known{{"c1", "far", "far:1", ""}, {"c2", "further", "further:1", ""}};
-  ControlChoice choice("near", "edge-1");
+  ControlProcessSelector choice("near", "edge-1");
   choice.SetSeeds({"far:1"});
   REQUIRE(choice.Current({}) == "far:1");
   for (Micros now = kSecond; now < 20 * kSecond; now += kSecond) {
@@ -60,7 +60,7 @@
   std::map<std::string, int> asked;
   std::map<std::string, int> asked_after;
   for (int i = 0; i < kSidecars; ++i) {
-    ControlChoice choice("near", "edge-" + std::to_string(i));
+    ControlProcessSelector choice("near", "edge-" + std::to_string(i));
     choice.SetSeeds({"far:1", "near:1"});
     choice.Current({});
     choice.OnAnswered(known, kSecond);
@@ -127,22 +127,22 @@
 
 TEST_CASE("The less busy of the window is taken, and the refused, tried and ejected are passed over") {
   const Directory directory = Ten(0, 1);
-  Chooser chooser(1);
-  Chooser::Wish wish;
+  LoadBalancer load_balancer(1);
+  LoadBalancer::RequestAttributes attributes;
   std::map<std::string, int> sent;
   for (int i = 0; i < 80; ++i) {
-    const Instance* instance = chooser.Choose(directory.Servers("s"), directory, wish, kSecond);
+    const Instance* instance = load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond);
     REQUIRE(instance != nullptr);
     ++sent[instance->id];
-    chooser.OnSent(instance->id, wish, kSecond);
+    load_balancer.OnSent(instance->id, attributes, kSecond);
   }
   CHECK(sent.size() == 8);  // the window
   for (const auto& [id, count] : sent) CHECK(std::abs(count - 10) <= 4);
-  chooser.OnEnd("i-0", AttemptResult::kWrongServer, wish, true, kSecond);
-  for (int i = 0; i < 3; ++i) chooser.OnEnd("i-1", AttemptResult::kBroken, wish, false, kSecond);
-  wish.tried = {"i-2"};
+  load_balancer.OnEnd("i-0", AttemptResult::kWrongServer, attributes, true, kSecond);
+  for (int i = 0; i < 3; ++i) load_balancer.OnEnd("i-1", AttemptResult::kBroken, attributes, false, kSecond);
+  attributes.tried = {"i-2"};
   for (int i = 0; i < 200; ++i) {
-    const Instance* instance = chooser.Choose(directory.Servers("s"), directory, wish, kSecond);
+    const Instance* instance = load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond);
     REQUIRE(instance != nullptr);
     CHECK(instance->id != "i-0");
     CHECK(instance->id != "i-1");
@@ -153,29 +153,29 @@
 TEST_CASE("An ejected server is taken rather than none, and one that lacks the model is not") {
   Directory directory = Ten(0, 1);
   const std::vector<const Instance*> one = {directory.Servers("s")[0]};
-  Chooser chooser(1);
-  const Chooser::Wish wish{"m", "", nullptr, 0, {}, 0};
-  for (int i = 0; i < 5; ++i) chooser.OnEnd("i-0", AttemptResult::kBroken, wish, false, kSecond);
-  CHECK(chooser.Choose(one, directory, wish, kSecond) != nullptr);
-  chooser.OnEnd("i-0", AttemptResult::kWrongServer, wish, true, kSecond);
-  CHECK(chooser.Choose(one, directory, wish, kSecond) == nullptr);
+  LoadBalancer load_balancer(1);
+  const LoadBalancer::RequestAttributes attributes{"m", "", nullptr, 0, {}, 0};
+  for (int i = 0; i < 5; ++i) load_balancer.OnEnd("i-0", AttemptResult::kBroken, attributes, false, kSecond);
+  CHECK(load_balancer.Choose(one, directory, attributes, kSecond) != nullptr);
+  load_balancer.OnEnd("i-0", AttemptResult::kWrongServer, attributes, true, kSecond);
+  CHECK(load_balancer.Choose(one, directory, attributes, kSecond) == nullptr);
 }
 
 TEST_CASE("A prompt goes where its first parts are kept, unless that server is much busier") {
   const Directory directory = Ten(0, 1);
-  Chooser chooser(1);
+  LoadBalancer load_balancer(1);
   const std::vector<PromptPart> parts = ParsePromptParts("5c:6000,91:3000");
-  Chooser::Wish wish{"m", "", &parts, 9000, {}, 0};
-  const Instance* first = chooser.Choose(directory.Servers("s"), directory, wish, kSecond);
-  chooser.OnSent(first->id, wish, kSecond);
-  chooser.OnFirstByte(first->id, wish, true, kSecond);
+  LoadBalancer::RequestAttributes attributes{"m", "", &parts, 9000, {}, 0};
+  const Instance* first = load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond);
+  load_balancer.OnSent(first->id, attributes, kSecond);
+  load_balancer.OnFirstByte(first->id, attributes, true, kSecond);
   for (int i = 0; i < 2; ++i) {
-    CHECK(chooser.Choose(directory.Servers("s"), directory, wish, kSecond) == first);
-    chooser.OnSent(first->id, wish, kSecond);
-    chooser.OnFirstByte(first->id, wish, true, kSecond);
+    CHECK(load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond) == first);
+    load_balancer.OnSent(first->id, attributes, kSecond);
+    load_balancer.OnFirstByte(first->id, attributes, true, kSecond);
   }
-  for (int i = 0; i < 40; ++i) chooser.OnSent(first->id, wish, kSecond);
-  CHECK(chooser.Choose(directory.Servers("s"), directory, wish, kSecond) != first);
+  for (int i = 0; i < 40; ++i) load_balancer.OnSent(first->id, attributes, kSecond);
+  CHECK(load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond) != first);
 }
 
 TEST_CASE("Among servers about as busy, a kept connection decides, then the zone; a busy one is left") {
@@ -188,25 +188,28 @@
   const Directory directory(nullptr, instances, 0, 1);
   const std::vector<PromptPart> parts = ParsePromptParts("91:3000");  // of its own alone: no homes
   std::string connected;
-  Chooser chooser(1);
-  chooser.SetNear("own", [&](const std::string& id) { return id == connected; });
-  Chooser::Wish wish{"m", "", &parts, 3000, {}, 0};
-  const auto chosen = [&] { return chooser.Choose(directory.Servers("s"), directory, wish, kSecond)->id; };
+  LoadBalancer load_balancer(1);
+  load_balancer.SetNear("own", [&](const std::string& id) { return id == connected; });
+  LoadBalancer::RequestAttributes attributes{"m", "", &parts, 3000, {}, 0};
+  const auto chosen = [&] {
+    return load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond)->id;
+  };
   CHECK(chosen() == "i-4");
   connected = "i-6";
   CHECK(chosen() == "i-6");
   const std::vector<PromptPart> others = ParsePromptParts("bb:9000");
-  Chooser::Wish large{"other", "", &others, 9000, {}, 0};
-  chooser.OnSent("i-6", large, kSecond);
+  LoadBalancer::RequestAttributes large{"other", "", &others, 9000, {}, 0};
+  load_balancer.OnSent("i-6", large, kSecond);
   CHECK(chosen() == "i-4");
 }
 
 TEST_CASE("Where no prompts are told, a kept connection decides between servers as busy") {
   const Directory directory = Ten(0, 1);
-  Chooser chooser(1);
-  chooser.SetNear("", [](const std::string& id) { return id == "i-3"; });
+  LoadBalancer load_balancer(1);
+  load_balancer.SetNear("", [](const std::string& id) { return id == "i-3"; });
   std::map<std::string, int> sent;
-  for (int i = 0; i < 400; ++i) ++sent[chooser.Choose(directory.Servers("s"), directory, {}, kSecond)->id];
+  for (int i = 0; i < 400; ++i)
+    ++sent[load_balancer.Choose(directory.Servers("s"), directory, {}, kSecond)->id];
   // Drawn in about a quarter of the pairs, and taken in each of them; half of these without it.
   CHECK(sent["i-3"] > 75);
   CHECK(sent.size() == 8);
@@ -217,27 +220,27 @@
   std::set<std::string> chosen;
   for (int number = 0; number < 9; ++number) {
     const Directory directory = Ten(number, 9);
-    Chooser chooser(static_cast<std::uint64_t>(number));
+    LoadBalancer load_balancer(static_cast<std::uint64_t>(number));
     chosen.insert(
-        chooser.Choose(directory.Servers("s"), directory, {"m", "", &parts, 9000, {}, 0}, kSecond)->id);
+        load_balancer.Choose(directory.Servers("s"), directory, {"m", "", &parts, 9000, {}, 0}, kSecond)->id);
   }
   CHECK(chosen.size() <= 2);
 }
 
 TEST_CASE("Prompts that a server has yet to read count as its work") {
   const Directory directory = Ten(0, 1);
-  Chooser chooser(1);
+  LoadBalancer load_balancer(1);
   const std::vector<PromptPart> parts = ParsePromptParts("5c:6000,91:3000");
-  Chooser::Wish wish{"m", "", &parts, 9000, {}, 0};
-  const Instance* first = chooser.Choose(directory.Servers("s"), directory, wish, kSecond);
-  std::vector<Chooser::Wish> sent(4, wish);
+  LoadBalancer::RequestAttributes attributes{"m", "", &parts, 9000, {}, 0};
+  const Instance* first = load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond);
+  std::vector<LoadBalancer::RequestAttributes> sent(4, attributes);
   const std::vector<PromptPart> others = ParsePromptParts("aa:1,bb:9000");
-  for (Chooser::Wish& one : sent) {
+  for (LoadBalancer::RequestAttributes& one : sent) {
     one.parts = &others;
     one.model = "other";
-    chooser.OnSent(first->id, one, kSecond);
+    load_balancer.OnSent(first->id, one, kSecond);
   }
-  CHECK(chooser.Choose(directory.Servers("s"), directory, wish, kSecond) != first);
+  CHECK(load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond) != first);
 }
 
 TEST_CASE("A part counts as kept only after the same parts, and memory is bounded") {
--- a/tests/testing/cluster.hpp
+++ b/tests/testing/cluster.hpp
@@ -16,6 +16,7 @@
 #include <vector>
 
 #include "common/random.hpp"
+#include "common/time.hpp"
 #include "control/consensus/membership.hpp"
 #include "control/consensus/replica.hpp"
 #include "testing/virtual_disk.hpp"
--- a/tests/testing/exploration.hpp
+++ b/tests/testing/exploration.hpp
@@ -22,6 +22,7 @@
 #include <utility>
 #include <vector>
 
+#include "common/time.hpp"
 #include "control/consensus/replica.hpp"
 #include "messages/consensus.hpp"
 #include "testing/virtual_disk.hpp"
