--- a/tests/testing/virtual_system.hpp
+++ b/tests/testing/virtual_system.hpp
@@ -17,6 +17,7 @@
 #include <vector>
 
 #include "common/random.hpp"
+#include "common/time.hpp"
 #include "control/api/handlers.hpp"
 #include "control/control_core.hpp"
 #include "dataplane/control_client/control_process_selector.hpp"
@@ -26,7 +27,7 @@
 namespace violetwing::testing {
 
 // One message on its way: the body of a call, or of the answer to one.
-struct Letter {
+struct WireMessage {
   std::string path;
   bool answer = false;
   std::string body;
@@ -36,7 +37,6 @@
 
 class VirtualSystem {
  public:
-  using Micros = std::int64_t;
   static constexpr Micros kStep = 10'000;
   static constexpr Micros kTick = 50'000;
   static constexpr int kPullWaitMs = 400;
@@ -48,13 +48,13 @@
     std::map<int, consensus::StoredState> stored;
     std::deque<std::pair<Micros, std::pair<ShardWrite, std::uint64_t>>> writes;  // under way, by their end
     std::unique_ptr<ControlCore> core;
-    int life = 0;
+    int incarnation = 0;
     Micros frozen_until = 0;
     Micros disk_stalled_until = 0;
   };
   struct Sidecar {
     std::unique_ptr<SystemView> view;
-    std::unique_ptr<ControlChoice> choice;
+    std::unique_ptr<ControlProcessSelector> choice;
     bool pulling = false;
     Micros pull_at = 0;
     std::int64_t highest = 0;  // version that it has held
@@ -73,7 +73,7 @@
     for (std::size_t i = 0; i < sidecars; ++i) {
       const std::string name = "edge-" + std::to_string(i);
       sidecars_[i].view = std::make_unique<SystemView>(name, name + ":1");
-      sidecars_[i].choice = std::make_unique<ControlChoice>("zone", name);
+      sidecars_[i].choice = std::make_unique<ControlProcessSelector>("zone", name);
       std::vector<std::string> seeds;
       for (const Control& control : controls_) seeds.push_back(control.address);
       sidecars_[i].choice->SetSeeds(std::move(seeds));
@@ -88,10 +88,10 @@
   const std::vector<std::string>& violations() const { return violations_; }
   Micros silence = 600'000;  // after which a call has failed
   // May change any message on its way.
-  std::function<void(Letter&)> tamper;
+  std::function<void(WireMessage&)> tamper;
   // Observers of what leaves the processes: messages as they are sent, writes as they are handed to the disk,
   // calls to model servers. Without the last two, calls to servers get no answer.
-  std::function<void(const Letter&)> on_message;
+  std::function<void(const WireMessage&)> on_message;
   std::function<void(std::size_t control, const ShardWrite&)> on_write;
   std::function<void(std::size_t control, const PlacementCall&, consensus::Term fencing_token)> on_order;
   std::function<void(std::size_t control, const PlacementCall&)> on_report_request;
@@ -116,11 +116,12 @@
       controls_[i].writes.push_back({last + Draw(8'000), {std::move(write), token}});
     };
     outputs.exchange = [this, i](const std::string& to, const ExchangeRequest& request) {
-      CallInternal(controls_[i].address, to, kExchangePath, Encode(request),
-                   [this, i, to, life = controls_[i].life](int status, const std::string& body) {
-                     if (controls_[i].core == nullptr || controls_[i].life != life) return;
-                     controls_[i].core->Exchanged(to, Read<ExchangeReply>(status, body), now_);
-                   });
+      CallInternal(
+          controls_[i].address, to, kExchangePath, Encode(request),
+          [this, i, to, incarnation = controls_[i].incarnation](int status, const std::string& body) {
+            if (controls_[i].core == nullptr || controls_[i].incarnation != incarnation) return;
+            controls_[i].core->Exchanged(to, Read<ExchangeReply>(status, body), now_);
+          });
     };
     outputs.order = [this, i](const PlacementCall& call, consensus::Term fencing_token) {
       if (on_order) on_order(i, call, fencing_token);
@@ -128,10 +129,10 @@
     outputs.ask_report = [this, i](const PlacementCall& call) {
       if (on_report_request) on_report_request(i, call);
     };
-    ++control.life;
-    control.core =
-        std::make_unique<ControlCore>(settings, settings.node_name + "/" + std::to_string(control.life),
-                                      Shards::Stored{control.disk, control.stored}, std::move(outputs), now_);
+    ++control.incarnation;
+    control.core = std::make_unique<ControlCore>(
+        settings, settings.node_name + "/" + std::to_string(control.incarnation),
+        Shards::Stored{control.disk, control.stored}, std::move(outputs), now_);
   }
   bool Up(std::size_t i) const { return controls_[i].core != nullptr; }
   // The process ends; what it had handed to the system is kept.
@@ -160,9 +161,9 @@
 
   // A pull with nothing known, as of a sidecar that has just started.
   void CallPull(std::size_t i, std::function<void(int status, const std::string&)> done) {
-    PullRequest request;
+    WatchRequest request;
     request.node = "edge-new";
-    Carry("outside", i, {"POST", kPullPath, Encode(request), {}}, /*internal=*/true, std::move(done));
+    Carry("outside", i, {"POST", kWatchPath, Encode(request), {}}, /*internal=*/true, std::move(done));
   }
   // `done` gets an HTTP status, 0 if there was no answer.
   void CallPublic(std::size_t i, const std::string& method, const std::string& path, const std::string& body,
@@ -217,12 +218,12 @@
   }
 
   // Sends a message of `from` to `to`, as often as it arrives.
-  void Post(const std::string& from, const std::string& to, Letter letter,
+  void Post(const std::string& from, const std::string& to, WireMessage message,
             const std::function<void(const std::string& body)>& arrive) {
-    if (tamper) tamper(letter);
-    if (on_message) on_message(letter);
-    for (int copy = 0; copy < letter.copies; ++copy)
-      At(now_ + Draw(3'000) + letter.held_up, [this, from, to, arrive, body = letter.body] {
+    if (tamper) tamper(message);
+    if (on_message) on_message(message);
+    for (int copy = 0; copy < message.copies; ++copy)
+      At(now_ + Draw(3'000) + message.held_up, [this, from, to, arrive, body = message.body] {
         if (!Cutoff(from, to)) arrive(body);
       });
   }
@@ -244,12 +245,12 @@
     At(now_ + silence, [end] { end(0, {}); });
     const std::string path = request.path;
     const std::string address = controls_[to].address;
-    Letter letter{path, false, request.body};
-    Post(from, address, std::move(letter), [=, this](const std::string& body) {
+    WireMessage message{path, false, request.body};
+    Post(from, address, std::move(message), [=, this](const std::string& body) {
       http::Request arrived = request;
       arrived.body = body;
       Deliver(to, arrived, internal, [=, this](const http::Response& response) {
-        Letter answer{path, true, response.body};
+        WireMessage answer{path, true, response.body};
         Post(address, from, std::move(answer),
              [end, status = response.status](const std::string& text) { end(status, text); });
       });
@@ -297,14 +298,14 @@
     Sidecar& sidecar = sidecars_[i];
     sidecar.pulling = true;
     const std::string to = sidecar.choice->Current(sidecar.view->controls());
-    CallInternal("edge-" + std::to_string(i), to, kPullPath, Encode(sidecar.view->NextPull(kPullWaitMs, {})),
-                 [this, i](int status, const std::string& body) { OnPulled(i, status, body); });
+    CallInternal("edge-" + std::to_string(i), to, kWatchPath, Encode(sidecar.view->NextPull(kPullWaitMs, {})),
+                 [this, i](int status, const std::string& body) { OnWatched(i, status, body); });
   }
 
-  void OnPulled(std::size_t i, int status, const std::string& body) {
+  void OnWatched(std::size_t i, int status, const std::string& body) {
     Sidecar& sidecar = sidecars_[i];
     sidecar.pulling = false;
-    if (const auto reply = Read<PullReply>(status, body)) {
+    if (const auto reply = Read<WatchReply>(status, body)) {
       sidecar.view->Take(*reply);
       sidecar.choice->OnAnswered(sidecar.view->controls(), now_);
       sidecar.pull_at = now_;
