--- a/src/sidecar/bans.hpp
+++ b/src/sidecar/bans.hpp
@@ -8,13 +8,14 @@
 #include <utility>
 
 #include "sidecar/kept_files.hpp"
+#include "sidecar/stored_names.hpp"
 
 namespace violetwing::sidecar {
 
 class Bans {
  public:
   // An empty name means that there is no directory: nothing can be kept then.
-  explicit Bans(std::string directory) : files_(std::move(directory), "fennelhollow-ban-") {}
+  explicit Bans(std::string directory) : files_(std::move(directory), stored_names::kBanPrefix) {}
 
   // False, and nothing has changed, if it cannot be kept. Adding or removing again is no error.
   bool Add(const std::string& server) { return files_.Put(server, ""); }
--- a/src/sidecar/last_list.hpp
+++ b/src/sidecar/last_list.hpp
@@ -10,12 +10,13 @@
 #include <string>
 
 #include "sidecar/discovery.hpp"
+#include "sidecar/stored_names.hpp"
 
 namespace violetwing::sidecar {
 
 class LastList {
  public:
-  static constexpr const char* kFile = "fennelhollow-last-list.json";
+  static constexpr const char* kFile = stored_names::kLastList;
 
   // `names` outlives it.
   LastList(asio::io_context& io, const std::string& directory, const bench_adapter::WireSettings& names);
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -13,6 +13,8 @@
 #include <optional>
 #include <utility>
 
+#include "sidecar/stored_names.hpp"
+
 namespace violetwing::sidecar {
 namespace {
 
@@ -38,8 +40,6 @@
 constexpr Micros kNoDeadline = 3600 * kSecond;
 // The watch is read before a decision if it was not within this part of the grace that a drain leaves.
 constexpr Micros kNewsShare = 4;
-// In $TMPDIR once a process takes clients: the next one there succeeds it.
-constexpr const char* kServedMark = "fennelhollow-served";
 
 std::optional<double> ParseNumber(std::string_view text) {
   double value = 0;
@@ -172,7 +172,7 @@
 bool Sidecar::Succeeds() const {
   std::error_code ignored;
   return config_.passed_socket && !config_.directory.empty() &&
-         std::filesystem::exists(std::filesystem::path(config_.directory) / kServedMark, ignored);
+         std::filesystem::exists(std::filesystem::path(config_.directory) / stored_names::kServed, ignored);
 }
 
 void Sidecar::TakeClients() {
@@ -180,7 +180,7 @@
   start_timer_.cancel();
   inbound_->Accept();
   if (config_.passed_socket && !config_.directory.empty())
-    std::ofstream(std::filesystem::path(config_.directory) / kServedMark);
+    std::ofstream(std::filesystem::path(config_.directory) / stored_names::kServed);
 }
 
 bool Sidecar::Ready() const { return taking_ && !drain_.begun() && upstream_.any_server(); }
--- a/src/sidecar/zone_orders.hpp
+++ b/src/sidecar/zone_orders.hpp
@@ -9,6 +9,7 @@
 
 #include "sidecar/balancer_types.hpp"
 #include "sidecar/kept_files.hpp"
+#include "sidecar/stored_names.hpp"
 
 namespace violetwing::sidecar {
 
@@ -19,7 +20,7 @@
 
 class ZoneOrders {
  public:
-  explicit ZoneOrders(std::string directory) : files_(std::move(directory), "fennelhollow-zone-") {}
+  explicit ZoneOrders(std::string directory) : files_(std::move(directory), stored_names::kZonePrefix) {}
 
   bool Put(const std::string& zone, const ZoneOrder& order) { return files_.Put(zone, ToText(order)); }
   bool Remove(const std::string& zone) { return files_.Remove(zone); }
