--- a/src/bench_adapter/host.cpp
+++ b/src/bench_adapter/host.cpp
@@ -147,91 +147,112 @@
 }
 
 void Host::Dispatch(std::string_view verb, Fields& fields) {
-  if (verb == "ARRIVAL") {
-    Instance& instance = Find(fields);
-    Request request;
-    request.id = fields.Word("call");
-    const auto cost = fields.OptionalInt("cost_us");
-    request.budget = fields.NonNegative("budget_us");
-    const std::string_view tenant = fields.Word("project");
-    const auto options = fields.OptionalInt("options").value_or(0);
-    const std::string_view request_class = fields.Word("qos");
-    const std::string_view key = fields.Word("name_key");
-    fields.End();
-    if (cost && *cost < 0) throw WireError("cost_us: negative");
-    if (options & 1) request.cost = cost;
-    request.repeated = (options & 2) != 0;
-    request.write = (options & 4) != 0;
-    if (key != "-") request.key = key;
-    request.tenant = instance.TenantIndex(tenant);
-    request.request_class = instance.ClassIndex(request_class);
-    instance.Run([&](Balancer& b) { b.OnRequest(now_, request); });
-  } else if (verb == "RESOLVED") {
-    Instance& instance = Find(fields);
-    Outcome outcome;
-    outcome.request = fields.Word("call");
-    outcome.attempt = static_cast<int>(std::min<std::int64_t>(fields.NonNegative("leg"), 1'000'000));
-    fields.Word("server");
-    outcome.result = ParseResult(fields.Word("outcome"));
-    outcome.elapsed = fields.NonNegative("wait_time_us");
-    outcome.settled = fields.Bool("settled");
-    outcome.load = ParseLoad(fields.Word("stats"));
-    fields.End();
-    instance.Run([&](Balancer& b) { b.OnOutcome(now_, outcome); });
-  } else if (verb == "DUE") {
-    Instance& instance = Find(fields);
-    const std::uint64_t token = fields.Unsigned("ref");
-    fields.End();
-    instance.Run([&](Balancer& b) { b.OnTimer(now_, token); });
-  } else if (verb == "TIMED_OUT_CLIENT") {
-    Instance& instance = Find(fields);
-    const std::string_view request = fields.Word("call");
-    fields.End();
-    instance.Run([&](Balancer& b) { b.OnClientGone(now_, request); });
-  } else if (verb == "HEADERS") {
-    Instance& instance = Find(fields);
-    const std::string_view request = fields.Word("call");
-    const auto attempt = static_cast<int>(std::min<std::int64_t>(fields.NonNegative("leg"), 1'000'000));
-    fields.Word("server");
-    fields.NonNegative("wait_time_us");
-    fields.End();
-    instance.Run([&](Balancer& b) { b.OnResponseStarted(now_, request, attempt); });
-  } else if (verb == "ROW") {
-    AddRow(fields);
-  } else if (verb == "TABLE") {
-    const std::int64_t table = fields.NonNegative("page");
-    if (table >= static_cast<std::int64_t>(kTables)) throw WireError("page: over 15");
-    rows_due_ = fields.NonNegative("rows");
-    fields.End();
-    table_ = static_cast<std::size_t>(table);
-    tables_[table_].clear();
-  } else if (verb == "DISCOVERY") {
-    Discovery(fields);
-  } else if (verb == "PROVISION") {
-    Provision(fields);
-  } else if (verb == "DOWN") {
-    const std::int64_t number = InstanceNumber(fields);
-    fields.End();
-    if (instances_.erase(number) == 0) throw WireError("no such instance");
-  } else if (verb == "ECHO") {
-    Instance& instance = Find(fields);
-    ProbeResult probe;
-    probe.server = fields.Word("server");
-    probe.result = ParseResult(fields.Word("outcome"));
-    probe.elapsed = fields.NonNegative("wait_time_us");
-    probe.load = ParseLoad(fields.Word("stats"));
-    fields.End();
-    instance.Run([&](Balancer& b) { b.OnProbed(now_, probe); });
-  } else if (verb == "MESSAGE") {
-    Instance& instance = Find(fields);
-    const auto sender =
-        static_cast<std::uint32_t>(std::min<std::int64_t>(fields.NonNegative("sender"), 1'000'000'000));
-    const std::string bytes = ParseHex(fields.Word("blob"));
-    fields.End();
-    instance.Run([&](Balancer& b) { b.OnPeerMessage(now_, sender, bytes); });
-  } else {
-    throw WireError("unknown verb");
-  }
+  using Handler = void (Host::*)(Fields&);
+  static const std::unordered_map<std::string_view, Handler> kHandlers = {
+      {"ARRIVAL", &Host::OnArrival},   {"RESOLVED", &Host::OnResolved},
+      {"DUE", &Host::OnTimerDue},      {"TIMED_OUT_CLIENT", &Host::OnClientGone},
+      {"HEADERS", &Host::OnHeaders},   {"ROW", &Host::AddRow},
+      {"TABLE", &Host::BeginTable},    {"DISCOVERY", &Host::Discovery},
+      {"PROVISION", &Host::Provision}, {"DOWN", &Host::RemoveInstance},
+      {"ECHO", &Host::OnProbed},       {"MESSAGE", &Host::OnPeerMessage},
+  };
+  const auto handler = kHandlers.find(verb);
+  if (handler == kHandlers.end()) throw WireError("unknown verb");
+  (this->*handler->second)(fields);
+}
+
+void Host::OnArrival(Fields& fields) {
+  Instance& instance = Find(fields);
+  Request request;
+  request.id = fields.Word("call");
+  const auto cost = fields.OptionalInt("cost_us");
+  request.budget = fields.NonNegative("budget_us");
+  const std::string_view tenant = fields.Word("project");
+  const auto options = fields.OptionalInt("options").value_or(0);
+  const std::string_view request_class = fields.Word("qos");
+  const std::string_view key = fields.Word("name_key");
+  fields.End();
+  if (cost && *cost < 0) throw WireError("cost_us: negative");
+  if (options & 1) request.cost = cost;
+  request.repeated = (options & 2) != 0;
+  request.write = (options & 4) != 0;
+  if (key != "-") request.key = key;
+  request.tenant = instance.TenantIndex(tenant);
+  request.request_class = instance.ClassIndex(request_class);
+  instance.Run([&](Balancer& b) { b.OnRequest(now_, request); });
+}
+
+void Host::OnResolved(Fields& fields) {
+  Instance& instance = Find(fields);
+  Outcome outcome;
+  outcome.request = fields.Word("call");
+  outcome.attempt = static_cast<int>(std::min<std::int64_t>(fields.NonNegative("leg"), 1'000'000));
+  fields.Word("server");
+  outcome.result = ParseResult(fields.Word("outcome"));
+  outcome.elapsed = fields.NonNegative("wait_time_us");
+  outcome.settled = fields.Bool("settled");
+  outcome.load = ParseLoad(fields.Word("stats"));
+  fields.End();
+  instance.Run([&](Balancer& b) { b.OnOutcome(now_, outcome); });
+}
+
+void Host::OnTimerDue(Fields& fields) {
+  Instance& instance = Find(fields);
+  const std::uint64_t token = fields.Unsigned("ref");
+  fields.End();
+  instance.Run([&](Balancer& b) { b.OnTimer(now_, token); });
+}
+
+void Host::OnClientGone(Fields& fields) {
+  Instance& instance = Find(fields);
+  const std::string_view request = fields.Word("call");
+  fields.End();
+  instance.Run([&](Balancer& b) { b.OnClientGone(now_, request); });
+}
+
+void Host::OnHeaders(Fields& fields) {
+  Instance& instance = Find(fields);
+  const std::string_view request = fields.Word("call");
+  const auto attempt = static_cast<int>(std::min<std::int64_t>(fields.NonNegative("leg"), 1'000'000));
+  fields.Word("server");
+  fields.NonNegative("wait_time_us");
+  fields.End();
+  instance.Run([&](Balancer& b) { b.OnResponseStarted(now_, request, attempt); });
+}
+
+void Host::BeginTable(Fields& fields) {
+  const std::int64_t table = fields.NonNegative("page");
+  if (table >= static_cast<std::int64_t>(kTables)) throw WireError("page: over 15");
+  rows_due_ = fields.NonNegative("rows");
+  fields.End();
+  table_ = static_cast<std::size_t>(table);
+  tables_[table_].clear();
+}
+
+void Host::RemoveInstance(Fields& fields) {
+  const std::int64_t number = InstanceNumber(fields);
+  fields.End();
+  if (instances_.erase(number) == 0) throw WireError("no such instance");
+}
+
+void Host::OnProbed(Fields& fields) {
+  Instance& instance = Find(fields);
+  ProbeResult probe;
+  probe.server = fields.Word("server");
+  probe.result = ParseResult(fields.Word("outcome"));
+  probe.elapsed = fields.NonNegative("wait_time_us");
+  probe.load = ParseLoad(fields.Word("stats"));
+  fields.End();
+  instance.Run([&](Balancer& b) { b.OnProbed(now_, probe); });
+}
+
+void Host::OnPeerMessage(Fields& fields) {
+  Instance& instance = Find(fields);
+  const auto sender =
+      static_cast<std::uint32_t>(std::min<std::int64_t>(fields.NonNegative("sender"), 1'000'000'000));
+  const std::string bytes = ParseHex(fields.Word("blob"));
+  fields.End();
+  instance.Run([&](Balancer& b) { b.OnPeerMessage(now_, sender, bytes); });
 }
 
 void Host::AddRow(Fields& fields) {
--- a/src/bench_adapter/host.hpp
+++ b/src/bench_adapter/host.hpp
@@ -38,9 +38,19 @@
   };
 
   void Dispatch(std::string_view verb, Fields& fields);
+  // One for each verb of the wire.
+  void OnArrival(Fields& fields);
+  void OnResolved(Fields& fields);
+  void OnTimerDue(Fields& fields);
+  void OnClientGone(Fields& fields);
+  void OnHeaders(Fields& fields);
   void AddRow(Fields& fields);
-  void Provision(Fields& fields);
+  void BeginTable(Fields& fields);
   void Discovery(Fields& fields);
+  void Provision(Fields& fields);
+  void RemoveInstance(Fields& fields);
+  void OnProbed(Fields& fields);
+  void OnPeerMessage(Fields& fields);
   Instance& Find(Fields& fields);
   static std::int64_t InstanceNumber(Fields& fields);
 
