--- a/bench/http_stacks.cpp
+++ b/bench/http_stacks.cpp
@@ -14,6 +14,7 @@
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
+#include <exception>
 #include <functional>
 #include <string>
 #include <vector>
@@ -125,7 +126,12 @@
     std::fprintf(stderr, "usage: http_stacks [REQUESTS]\n");
     return 2;
   }
-  Report("evhttp", ServeByEvhttp, kEvhttpAddress, requests);
-  Report("beast", ServeByBeast, kBeastAddress, requests);
+  try {
+    Report("evhttp", ServeByEvhttp, kEvhttpAddress, requests);
+    Report("beast", ServeByBeast, kBeastAddress, requests);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "http_stacks: %s\n", error.what());
+    return 1;
+  }
   return 0;
 }
--- a/bench/registry_bench.cpp
+++ b/bench/registry_bench.cpp
@@ -204,7 +204,7 @@
     http::request<http::empty_body> request(http::verb::get, target, 11);
     http::write(caller_, request);
     http::response_parser<http::string_body> answer;
-    answer.body_limit(64 * 1024 * 1024);
+    answer.body_limit(std::uint64_t{64} * 1024 * 1024);
     http::read(caller_, buffer_, answer);
     return answer.get().body();
   }
--- a/src/bench_adapter/wire.cpp
+++ b/src/bench_adapter/wire.cpp
@@ -185,12 +185,9 @@
   if (any_left_) Bad("line", rest_, "more than it should hold");
 }
 
-WireSettings ParseSettings(std::string_view text) {
-  const Pairs pairs(text);
-  WireSettings out;
-  Settings& s = out.settings;
-  out.zones = SplitCommas(pairs.Text("azs", ""));
-  out.machines = SplitCommas(pairs.Text("host_types", ""));
+namespace {
+
+void ReadClassesAndTenants(const Pairs& pairs, Settings& s) {
   const int classes = pairs.Small("grades.count", 0);
   for (int i = 0; i < classes; ++i)
     s.classes.push_back(ParseClass(pairs, "grades." + std::to_string(i) + "."));
@@ -204,10 +201,9 @@
     tenant.quota_per_s = pairs.Number(at + "quota_per_s", 0);
     s.tenants.push_back(std::move(tenant));
   }
-  s.zone = IndexOf(out.zones, pairs.Text("my_zone", ""));
-  s.rank = static_cast<std::uint32_t>(pairs.Small("rank", 0));
-  s.siblings = static_cast<std::uint32_t>(pairs.Small("siblings", 1));
-  s.tick = pairs.Int("quantum_us", 0);
+}
+
+void ReadAllowed(const Pairs& pairs, Settings& s) {
   s.max_attempts = pairs.Small("allowed.max_attempts", 1);
   s.parallel_attempts = pairs.Bool("allowed.parallel_tries", false);
   s.cancel = pairs.Bool("allowed.cancel", false);
@@ -221,7 +217,9 @@
   s.most_open = pairs.Int("allowed.open_cap", 0);
   s.cpu_per_s = pairs.Int("allowed.cpu_us_per_s", 0);
   s.cpu_per_request = pairs.Number("allowed.cpu_us_per_request", 0);
-  s.clients_mark_repeats = pairs.Bool("callers.marks_retry", false);
+}
+
+void ReadTelemetry(const Pairs& pairs, Settings& s) {
   s.reports = OneOf<Settings::Reports>(pairs.Text("telemetry.via", "none"), "telemetry.via", "unknown",
                                        {{"none", Settings::Reports::kNone},
                                         {"answers", Settings::Reports::kInAnswers},
@@ -232,7 +230,9 @@
                                         {"nominal", Settings::Weights::kNominal},
                                         {"rough", Settings::Weights::kRough},
                                         {"live", Settings::Weights::kLive}});
-  s.must_subscribe = pairs.Text("membership_mode", "automatic") == "subscribe";
+}
+
+void ReadRules(const Pairs& pairs, Settings& s) {
   s.ask_within = pairs.Int("rules.ask_within_us", 0);
   s.drain_grace = pairs.Int("rules.drain_grace_us", 0);
   s.cold_share = pairs.Number("rules.cold_from", 1);
@@ -241,6 +241,9 @@
   s.fall_window = pairs.Int("rules.fall_us", 0);
   s.refused_may_have_run = pairs.Bool("rules.late_shedding", false);
   s.settle_after_doubt = pairs.Int("rules.settle_after_doubt_us", 0);
+}
+
+void ReadCosts(const Pairs& pairs, Settings& s) {
   s.price_crossing = pairs.Number("costs.cross_zone", 0);
   s.price_waste = pairs.Number("costs.waste", 0);
   s.price_connection = pairs.Number("costs.connection", 0);
@@ -251,12 +254,37 @@
   s.price_discovery = pairs.Number("costs.membership_mode", 0);
   s.price_moves = pairs.Number("costs.moves", 0);
   s.price_origin = pairs.Number("costs.origin", 0);
+}
+
+void ReadGoal(const Pairs& pairs, Settings& s) {
   s.goal_whole = pairs.Number("goal.whole", 1);
   s.goal_worst_window = pairs.Number("goal.worst_window", 0);
   s.goal_worst_class = pairs.Number("goal.worst_class", 0);
   s.goal_worst_tenant = pairs.Number("goal.worst_tenant", 0);
   s.worth_by_work = pairs.Text("value_by", "request") == "work";
   s.over_share_worth = pairs.Number("over_share_worth", 1);
+}
+
+}  // namespace
+
+WireSettings ParseSettings(std::string_view text) {
+  const Pairs pairs(text);
+  WireSettings out;
+  Settings& s = out.settings;
+  out.zones = SplitCommas(pairs.Text("azs", ""));
+  out.machines = SplitCommas(pairs.Text("host_types", ""));
+  ReadClassesAndTenants(pairs, s);
+  s.zone = IndexOf(out.zones, pairs.Text("my_zone", ""));
+  s.rank = static_cast<std::uint32_t>(pairs.Small("rank", 0));
+  s.siblings = static_cast<std::uint32_t>(pairs.Small("siblings", 1));
+  s.tick = pairs.Int("quantum_us", 0);
+  ReadAllowed(pairs, s);
+  s.clients_mark_repeats = pairs.Bool("callers.marks_retry", false);
+  ReadTelemetry(pairs, s);
+  s.must_subscribe = pairs.Text("membership_mode", "automatic") == "subscribe";
+  ReadRules(pairs, s);
+  ReadCosts(pairs, s);
+  ReadGoal(pairs, s);
   return out;
 }
 
