--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -169,8 +169,8 @@
   }
 
   void Beat() {
-    static const auto beat = std::make_shared<const std::string>(Chunk("\n"));
-    Write(beat, index_);
+    static const auto kHeartbeatChunk = std::make_shared<const std::string>(Chunk("\n"));
+    Write(kHeartbeatChunk, index_);
   }
 
   void WatchForEnd() {
--- a/src/sidecar/inbound.cpp
+++ b/src/sidecar/inbound.cpp
@@ -284,6 +284,12 @@
     Read();
   }
 
+  bool BufferIsFull() const { return buffer_.size() + kReadSize > buffer_.max_size(); }
+  // A line that fills the buffer without an end.
+  ErrorCode LineTooLong() const {
+    return parser_->parser.is_header_done() ? http::error::bad_chunk : http::error::header_limit;
+  }
+
   void Parse() {
     const auto kept = shared_from_this();
     while (buffer_.size() > 0 && !parser_->parser.is_done()) {
@@ -295,13 +301,8 @@
       }
       const std::size_t used = parser_->parser.put(buffer_.data(), error);
       buffer_.consume(used);
-      if (error == http::error::need_more) {
-        // A line that fills the buffer has no end.
-        if (buffer_.size() + kReadSize > buffer_.max_size())
-          error = parser_->parser.is_header_done() ? http::error::bad_chunk : http::error::header_limit;
-        else
-          return;
-      }
+      if (error == http::error::need_more && !BufferIsFull()) return;
+      if (error == http::error::need_more) error = LineTooLong();
       if (error) return Reject(error);
       if (parser_->parser.is_header_done() && body_ == nullptr && !TakeHead()) return;
       if (body_ != nullptr) TakePiece();
