--- a/src/common/http_client.cpp
+++ b/src/common/http_client.cpp
@@ -36,20 +36,20 @@
 }
 
 void HttpExchange::Stop() {
-  over_ = true;
+  finished_ = true;
   stream_.close();
 }
 
 void HttpExchange::Connect() {
-  stream_.expires_after(call_.silence);
+  stream_.expires_after(call_.idle_timeout);
   stream_.async_connect(call_.to, [self = shared_from_this()](ErrorCode error) {
-    if (self->over_) return;
-    if (error) return self->End(error.message());
-    self->Ask();
+    if (self->finished_) return;
+    if (error) return self->Finish(error.message());
+    self->SendRequest();
   });
 }
 
-void HttpExchange::Ask() {
+void HttpExchange::SendRequest() {
   request_.method(http::string_to_verb(call_.method));
   request_.target(call_.target);
   request_.set(http::field::host, ToText(call_.to));
@@ -57,8 +57,8 @@
   request_.body() = call_.body;
   request_.prepare_payload();
   http::async_write(stream_, request_, [self = shared_from_this()](ErrorCode error, std::size_t) {
-    if (self->over_) return;
-    if (error) return self->End(error.message());
+    if (self->finished_) return;
+    if (error) return self->Finish(error.message());
     self->ReadHeader();
   });
 }
@@ -69,46 +69,46 @@
   parser_.body_limit(std::numeric_limits<std::uint64_t>::max());
   http::async_read_header(stream_, buffer_, parser_,
                           [self = shared_from_this()](ErrorCode error, std::size_t) {
-                            if (self->over_) return;
-                            if (error) return self->End(error.message());
+                            if (self->finished_) return;
+                            if (error) return self->Finish(error.message());
                             self->status_ = static_cast<int>(self->parser_.get().result_int());
                             self->ReadBody();
                           });
 }
 
 void HttpExchange::ReadBody() {
-  if (parser_.is_done()) return End("");
-  stream_.expires_after(call_.silence);
+  if (parser_.is_done()) return Finish("");
+  stream_.expires_after(call_.idle_timeout);
   auto& body = parser_.get().body();
-  body.data = piece_.data();
-  body.size = piece_.size();
+  body.data = chunk_.data();
+  body.size = chunk_.size();
   body.more = true;
   http::async_read_some(stream_, buffer_, parser_, [self = shared_from_this()](ErrorCode error, std::size_t) {
-    if (self->over_) return;
+    if (self->finished_) return;
     if (error == http::error::need_buffer) error = {};
-    if (error) return self->End(error.message());
-    self->TakePiece();
+    if (error) return self->Finish(error.message());
+    self->OnBodyChunk();
   });
 }
 
-void HttpExchange::TakePiece() {
-  line_.append(piece_.data(), piece_.size() - parser_.get().body().size);
+void HttpExchange::OnBodyChunk() {
+  line_.append(chunk_.data(), chunk_.size() - parser_.get().body().size);
   std::size_t begin = 0;
   for (std::size_t end = line_.find('\n'); end != std::string::npos; end = line_.find('\n', begin)) {
     const std::string line = line_.substr(begin, end - begin);
     begin = end + 1;
     if (line.find_first_not_of(" \r") != std::string::npos && events_.on_line) events_.on_line(line);
-    if (over_) return;
+    if (finished_) return;
   }
   line_.erase(0, begin);
-  if (line_.size() > call_.most_line) return End("a line without end");
+  if (line_.size() > call_.max_line_bytes) return Finish("a line without end");
   ReadBody();
 }
 
-void HttpExchange::End(const std::string& why) {
-  over_ = true;
+void HttpExchange::Finish(const std::string& error) {
+  finished_ = true;
   stream_.close();
-  if (events_.on_end) events_.on_end(status_, why);
+  if (events_.on_end) events_.on_end(status_, error);
 }
 
 }  // namespace violetwing
--- a/src/common/log.hpp
+++ b/src/common/log.hpp
@@ -1,4 +1,4 @@
-// Structured logs: JSON lines with time, level, part, event and fields, written by spdlog.
+// Structured logs of the lab and the registry: JSON lines with time, level, part, event and fields.
 #ifndef VIOLETWING_COMMON_LOG_HPP_
 #define VIOLETWING_COMMON_LOG_HPP_
 
@@ -11,21 +11,28 @@
 
 namespace violetwing {
 
+/// Writes events to a file, one JSON object a line. Not thread safe.
 class Log {
  public:
-  Log();  // keeps nothing
+  /// Discards all events.
+  Log();
+  /// What becomes of a file that is there already.
   enum class Old { kReplaced, kKept };
-  Log(const std::string& file, Old old);  // throws spdlog::spdlog_ex if it cannot be opened
+  /// Throws spdlog::spdlog_ex if the file cannot be opened.
+  Log(const std::string& file, Old old);
 
-  // `at_us` is the time of the event by the program's own clock; `fields` is an object.
+  /// Writes an event of this level. `at_us`: microseconds by the program's own clock; `fields`: a JSON
+  /// object.
   void Info(std::int64_t at_us, const char* part, const char* event, const nlohmann::json& fields = {}) {
     Write(spdlog::level::info, at_us, part, event, fields);
   }
+
+  /// As Info, for what an operator should look at.
   void Warn(std::int64_t at_us, const char* part, const char* event, const nlohmann::json& fields = {}) {
     Write(spdlog::level::warn, at_us, part, event, fields);
   }
 
-  // The one form of a line, for those that write many at once too.
+  /// A line as Info and Warn write it, without its end, for callers that write many at once.
   static std::string Line(const char* level, std::int64_t at_us, const char* part, const char* event,
                           const nlohmann::json& fields);
 
--- a/src/common/node_settings.cpp
+++ b/src/common/node_settings.cpp
@@ -12,8 +12,8 @@
 // Reads fields and collects what is wrong with them.
 class Fields {
  public:
-  Fields(json object, std::string place, std::string& problem)
-      : object_(std::move(object)), place_(std::move(place)), problem_(problem) {}
+  Fields(json object, std::string path, SettingsError& error)
+      : object_(std::move(object)), path_(std::move(path)), error_(error) {}
 
   template <class T>
   void Read(const char* name, T& out) const {
@@ -32,14 +32,14 @@
     if (!(out > 0)) Report(name, "must be above 0");
   }
 
-  void Report(const std::string& name, const std::string& what) const {
-    problem_ += (problem_.empty() ? "" : "; ") + place_ + name + ": " + what;
+  void Report(const std::string& name, const std::string& message) const {
+    error_.findings.push_back({path_ + name, message});
   }
 
  private:
   const json object_;
-  const std::string place_;
-  std::string& problem_;
+  const std::string path_;
+  SettingsError& error_;
 };
 
 json Member(const json& in, const char* name) {
@@ -47,8 +47,8 @@
   return it != in.end() && it->is_object() ? *it : json::object();
 }
 
-void ReadTimeouts(const json& in, NodeSettings& out, std::string& problem) {
-  const Fields fields(in, "timeouts.", problem);
+void ReadTimeouts(const json& in, NodeSettings& out, SettingsError& error) {
+  const Fields fields(in, "timeouts.", error);
   double grace_s = 8;
   fields.ReadPositive("grace_s", grace_s);
   out.grace_ms = static_cast<std::int64_t>(grace_s * 1000);
@@ -61,21 +61,8 @@
   out.catch_up_ms = static_cast<std::int64_t>(catch_up_s * 1000);
 }
 
-}  // namespace
-
-std::string NodeSettings::InternalAddressOf(const std::string& seed) const {
-  return seed.substr(0, seed.rfind(':')) + ":" + std::to_string(internal_port);
-}
-
-std::optional<NodeSettings> ParseSettings(const std::string& text, std::string& problem) {
-  problem.clear();
-  const json in = json::parse(text, nullptr, /*allow_exceptions=*/false);
-  if (!in.is_object()) {
-    problem = "is not a JSON object";
-    return std::nullopt;
-  }
-  NodeSettings out;
-  const Fields fields(in, "", problem);
+void ReadNode(const json& in, NodeSettings& out, SettingsError& error) {
+  const Fields fields(in, "", error);
   fields.Read("node_name", out.node_name);
   fields.Read("ip", out.ip);
   fields.Read("zone", out.zone);
@@ -86,31 +73,62 @@
   if (out.node_name.empty()) fields.Report("node_name", "is missing");
   if (out.ip.empty()) fields.Report("ip", "is missing");
   if (out.seeds.empty()) fields.Report("seed_nodes", "is missing or empty");
-  const Fields listeners(Member(in, "listeners_addr"), "listeners_addr.", problem);
-  listeners.Read("ingress", out.ingress);
-  listeners.Read("readiness", out.readiness);
-  listeners.Read("control_plane", out.control_plane);
+}
+
+void ReadListeners(const json& in, NodeSettings& out, SettingsError& error) {
+  const Fields fields(in, "listeners_addr.", error);
+  fields.Read("ingress", out.ingress);
+  fields.Read("readiness", out.readiness);
+  fields.Read("control_plane", out.control_plane);
+}
+
+void ReadPorts(const json& in, NodeSettings& out, SettingsError& error) {
+  constexpr int kMaxPort = 65535;
+  const Fields fields(in, "", error);
   std::vector<int> ports;
   fields.Read("ephemeral_ports", ports);
-  if (ports.size() == 2 && ports[0] > 0 && ports[0] <= ports[1] && ports[1] < 65536)
+  if (ports.size() == 2 && ports[0] > 0 && ports[0] <= ports[1] && ports[1] <= kMaxPort)
     out.internal_port = ports[0];
   else
     fields.Report("ephemeral_ports", "must be the first and the last of some ports");
-  const Fields tolerance(Member(in, "fault_tolerance"), "fault_tolerance.", problem);
+}
+
+}  // namespace
+
+std::string NodeSettings::InternalAddressOf(const std::string& seed) const {
+  return seed.substr(0, seed.rfind(':')) + ":" + std::to_string(internal_port);
+}
+
+std::string SettingsError::ToString() const {
+  std::string line;
+  for (const Finding& finding : findings) {
+    if (!line.empty()) line += "; ";
+    if (!finding.path.empty()) line += finding.path + ": ";
+    line += finding.message;
+  }
+  return line;
+}
+
+SettingsResult ParseNodeSettings(const std::string& text) {
+  const json in = json::parse(text, nullptr, /*allow_exceptions=*/false);
+  if (!in.is_object()) return SettingsError{{{"", "is not a JSON object"}}};
+  NodeSettings out;
+  SettingsError error;
+  ReadNode(in, out, error);
+  ReadListeners(Member(in, "listeners_addr"), out, error);
+  ReadPorts(in, out, error);
+  const Fields tolerance(Member(in, "fault_tolerance"), "fault_tolerance.", error);
   tolerance.Read("nodes", out.tolerated_nodes);
-  ReadTimeouts(Member(in, "timeouts"), out, problem);
-  if (!problem.empty()) return std::nullopt;
+  ReadTimeouts(Member(in, "timeouts"), out, error);
+  if (!error.findings.empty()) return error;
   return out;
 }
 
-std::optional<NodeSettings> ReadSettings(const std::string& path, std::string& problem) {
+SettingsResult ReadNodeSettings(const std::string& path) {
   std::ifstream file(path);
-  if (!file) {
-    problem = "cannot be read";
-    return std::nullopt;
-  }
+  if (!file) return SettingsError{{{"", "cannot be read"}}};
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
-  return ParseSettings(text, problem);
+  return ParseNodeSettings(text);
 }
 
 }  // namespace violetwing
--- a/src/common/steady_time.hpp
+++ b/src/common/steady_time.hpp
@@ -1,13 +1,15 @@
-// The process's steady clock in microseconds, as the cores take time.
+// The steady clock of the process, for the code that drives the parts without a clock.
 #ifndef VIOLETWING_COMMON_STEADY_TIME_HPP_
 #define VIOLETWING_COMMON_STEADY_TIME_HPP_
 
 #include <chrono>
-#include <cstdint>
+
+#include "common/time.hpp"
 
 namespace violetwing {
 
-inline std::int64_t SteadyMicros() {
+/// Microseconds on std::chrono::steady_clock: never goes back, and no change of the time of day moves it.
+inline Micros SteadyMicros() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::steady_clock::now().time_since_epoch())
       .count();
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -7,13 +7,14 @@
 
 #include <boost/asio/signal_set.hpp>
 #include <boost/program_options.hpp>
+#include <chrono>
 #include <cstdio>
 #include <cstdlib>
 #include <exception>
 #include <functional>
 #include <iostream>
-#include <optional>
 #include <string>
+#include <variant>
 
 #include "common/node_settings.hpp"
 #include "control/control_service.hpp"
@@ -23,10 +24,13 @@
 
 namespace options = boost::program_options;
 
-constexpr int kUsage = 2;
+constexpr int kExitFailure = 1;
+constexpr int kExitUsage = 2;
+constexpr std::chrono::seconds kSettingsPollInterval{1};
 constexpr const char* kDefaultSettings = "/etc/violetwing/settings.json";
 
-int Say(int status, const std::string& line) {
+// Prints why the process ends, in one line, and returns its exit status.
+int ExitWith(int status, const std::string& line) {
   std::cerr << "violetwing-node: " << line << "\n";
   return status;
 }
@@ -36,23 +40,24 @@
   return path == nullptr ? kDefaultSettings : path;
 }
 
-// What the file says now; a file that makes no sense changes nothing.
+// Applies what the file says now; a file that cannot be used changes nothing.
 template <class Service>
 void Reload(Service& service) {
-  std::string problem;
-  if (const auto settings = violetwing::ReadSettings(SettingsPath(), problem))
+  const violetwing::SettingsResult read = violetwing::ReadNodeSettings(SettingsPath());
+  if (const auto* settings = std::get_if<violetwing::NodeSettings>(&read))
     service.Reload(*settings);
   else
-    spdlog::warn("{}: {}", SettingsPath(), problem);
+    spdlog::warn("settings not reloaded: {}: {}", SettingsPath(),
+                 std::get<violetwing::SettingsError>(read).ToString());
 }
 
 int RunEdge(const violetwing::NodeSettings& settings) {
   if (settings.ingress.empty() || settings.readiness.empty())
-    return Say(kUsage, SettingsPath() + ": listeners_addr: ingress or readiness is missing");
+    return ExitWith(kExitUsage, SettingsPath() + ": listeners_addr: ingress or readiness is missing");
   boost::asio::io_context io(1);
   violetwing::EdgeService service(io, settings);
   std::string problem;
-  if (service.Start(problem)) return Say(1, problem);
+  if (service.Start(problem)) return ExitWith(kExitFailure, problem);
   boost::asio::signal_set stop(io, SIGTERM, SIGINT);
   stop.async_wait([&](const boost::system::error_code& error, int) {
     if (!error) service.Stop();
@@ -67,28 +72,28 @@
   };
   await_reload();
   // The file may change without a signal.
-  boost::asio::steady_timer look(io);
-  std::function<void()> await_look = [&] {
-    look.expires_after(std::chrono::seconds(1));
-    look.async_wait([&](const boost::system::error_code& error) {
+  boost::asio::steady_timer poll_timer(io);
+  std::function<void()> await_poll = [&] {
+    poll_timer.expires_after(kSettingsPollInterval);
+    poll_timer.async_wait([&](const boost::system::error_code& error) {
       if (error) return;
       Reload(service);
-      await_look();
+      await_poll();
     });
   };
-  await_look();
+  await_poll();
   io.run();
   return 0;
 }
 
 int RunControl(const violetwing::NodeSettings& settings) {
   if (settings.control_plane.empty())
-    return Say(kUsage, SettingsPath() + ": listeners_addr.control_plane: is missing");
-  if (settings.data_dir.empty()) return Say(kUsage, SettingsPath() + ": data_dir: is missing");
+    return ExitWith(kExitUsage, SettingsPath() + ": listeners_addr.control_plane: is missing");
+  if (settings.data_dir.empty()) return ExitWith(kExitUsage, SettingsPath() + ": data_dir: is missing");
   event_base* base = event_base_new();
   violetwing::ControlService service(base, settings);
   std::string problem;
-  if (service.Start(problem)) return Say(1, problem);
+  if (service.Start(problem)) return ExitWith(kExitFailure, problem);
   const auto on_stop = [](evutil_socket_t, short, void* at) {
     static_cast<violetwing::ControlService*>(at)->Stop();
   };
@@ -98,8 +103,8 @@
   event_add(evsignal_new(base, SIGTERM, on_stop, &service), nullptr);
   event_add(evsignal_new(base, SIGINT, on_stop, &service), nullptr);
   event_add(evsignal_new(base, SIGHUP, on_reload, &service), nullptr);
-  const timeval second{1, 0};
-  event_add(event_new(base, -1, EV_PERSIST, on_reload, &service), &second);
+  const timeval poll_interval{kSettingsPollInterval.count(), 0};
+  event_add(event_new(base, -1, EV_PERSIST, on_reload, &service), &poll_interval);
   event_base_dispatch(base);
   spdlog::info("control process {} stops", settings.node_name);
   // The disk may hang: what is not written by now is not waited for.
@@ -122,21 +127,23 @@
     options::store(options::command_line_parser(argc, argv).options(all).positional(positional).run(), given);
     options::notify(given);
   } catch (const options::error& error) {
-    return Say(kUsage, error.what());
+    return ExitWith(kExitUsage, error.what());
   }
   if (given.count("help") > 0) {
     std::cout << visible;
     return 0;
   }
   const std::string role = given.count("role") > 0 ? given["role"].as<std::string>() : "";
-  if (role != "edge" && role != "control") return Say(kUsage, "ROLE is edge or control; --help tells more");
+  if (role != "edge" && role != "control")
+    return ExitWith(kExitUsage, "ROLE is edge or control; --help tells more");
   spdlog::set_default_logger(spdlog::stderr_logger_st("violetwing"));
   spdlog::set_level(spdlog::level::from_str(given["log-level"].as<std::string>()));
   signal(SIGPIPE, SIG_IGN);
-  std::string problem;
-  const auto settings = violetwing::ReadSettings(SettingsPath(), problem);
-  if (!settings) return Say(kUsage, SettingsPath() + ": " + problem);
-  return role == "edge" ? RunEdge(*settings) : RunControl(*settings);
+  const violetwing::SettingsResult read = violetwing::ReadNodeSettings(SettingsPath());
+  if (const auto* error = std::get_if<violetwing::SettingsError>(&read))
+    return ExitWith(kExitUsage, SettingsPath() + ": " + error->ToString());
+  const auto& settings = std::get<violetwing::NodeSettings>(read);
+  return role == "edge" ? RunEdge(settings) : RunControl(settings);
 }
 
 }  // namespace
@@ -146,6 +153,6 @@
     return Run(argc, argv);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "violetwing-node: %s\n", error.what());
-    return 1;
+    return kExitFailure;
   }
 }
--- a/src/registry/agent/shell.cpp
+++ b/src/registry/agent/shell.cpp
@@ -67,7 +67,7 @@
   HttpExchange::Call call;
   call.to = registries_[core_.registry()];
   call.method = "POST";
-  call.silence = kAnswerWithin;
+  call.idle_timeout = kAnswerWithin;
   if (ask == LeaseCore::Ask::kRenew) {
     call.target = "/v1/renewals";
     call.body = nlohmann::json({{"renewals", {{{"id", entry_.id}, {"holder", entry_.holder}}}}}).dump();
--- a/src/registry/peers.cpp
+++ b/src/registry/peers.cpp
@@ -67,7 +67,7 @@
   HttpExchange::Call call;
   call.to = others_[other].address;
   call.target = "/v1/status";
-  call.silence = kAnswerWithin;
+  call.idle_timeout = kAnswerWithin;
   HttpExchange::Events events;
   events.on_line = [this, other](const std::string& line) {
     try {
@@ -97,7 +97,7 @@
   HttpExchange::Call call;
   call.to = others_[*watched_].address;
   call.target = "/v1/replica?stream=1&index=" + std::to_string(events_.generation());
-  call.silence = kSilence;
+  call.idle_timeout = kSilence;
   HttpExchange::Events events;
   events.on_line = [this](const std::string& line) {
     try {
--- /dev/null
+++ b/tests/common/node_settings_test.cpp
@@ -0,0 +1,39 @@
+// The settings file of a process: what is read, and how findings are reported.
+#include "common/node_settings.hpp"
+
+#include <catch2/catch.hpp>
+#include <string>
+#include <variant>
+
+namespace violetwing {
+
+TEST_CASE("Settings are read, and unknown fields are ignored") {
+  const SettingsResult read = ParseNodeSettings(
+      R"({"node_name": "n", "ip": "10.0.0.1", "seed_nodes": ["10.0.0.2:80"],
+          "ephemeral_ports": [7660, 7675], "new": {}, "data_dir": null, "timeouts": {"grace_s": 8}})");
+  REQUIRE(std::holds_alternative<NodeSettings>(read));
+  const auto& settings = std::get<NodeSettings>(read);
+  CHECK(settings.InternalAddress() == "10.0.0.1:7660");
+  CHECK(settings.InternalAddressOf("10.0.0.2:80") == "10.0.0.2:7660");
+  CHECK(settings.grace_ms == 8000);
+}
+
+TEST_CASE("Each wrong setting is a finding with its path, and all are reported in one line") {
+  const SettingsResult read =
+      ParseNodeSettings(R"({"node_name": 7, "ephemeral_ports": [5], "timeouts": {"grace_s": 0}})");
+  REQUIRE(std::holds_alternative<SettingsError>(read));
+  const std::string line = std::get<SettingsError>(read).ToString();
+  for (const char* path : {"node_name:", "ip:", "seed_nodes:", "ephemeral_ports:", "timeouts.grace_s:"})
+    CHECK(line.find(path) != std::string::npos);
+  CHECK(line.find('\n') == std::string::npos);
+}
+
+TEST_CASE("Settings that are not JSON, and a file that cannot be read, are findings of the file itself") {
+  for (const SettingsResult& read : {ParseNodeSettings("{"), ReadNodeSettings("/nonexistent")}) {
+    REQUIRE(std::holds_alternative<SettingsError>(read));
+    REQUIRE(std::get<SettingsError>(read).findings.size() == 1);
+    CHECK(std::get<SettingsError>(read).findings[0].path.empty());
+  }
+}
+
+}  // namespace violetwing
--- a/tests/registry/service_test.cpp
+++ b/tests/registry/service_test.cpp
@@ -51,7 +51,7 @@
     call.method = method;
     call.target = target;
     call.body = body;
-    call.silence = std::chrono::seconds(30);
+    call.idle_timeout = std::chrono::seconds(30);
     std::string text;
     int status = -1;
     HttpExchange::Events events;
@@ -77,7 +77,7 @@
     HttpExchange::Call call;
     call.to = service->address();
     call.target = "/v1/endpoints?stream=1&index=0";
-    call.silence = std::chrono::seconds(30);
+    call.idle_timeout = std::chrono::seconds(30);
     HttpExchange::Events events;
     events.on_line = [&](const std::string& line) {
       generation = nlohmann::json::parse(line).at("generation").get<std::int64_t>();
