--- a/src/control/consensus/election.cpp
+++ b/src/control/consensus/election.cpp
@@ -1,13 +1,13 @@
-// Elections of a replica: when it looks for votes, whom it votes for, and the leader's lease.
+// Elections: when a replica asks for votes, and whom it votes for (Ongaro 2014, 3.4, 9.6 and 6.4.1).
 //
-// A replica that has started may have confirmed a lease in its incarnation before, so it gives no vote for
-// `election_least`. Where all voters have started (all lost power, say) nobody is there to hold a lease, and
-// they need not wait. A candidate is told so by each voter of the group, in replies to pre-votes at its own
-// term; a voter that has heard a leader since its start, leads, or is a candidate, does not say it. It stays
-// true while votes are asked for: whoever of them comes to lead later does so in a term at least as high as
-// the candidate's, and of one term there is one leader. A leader whom the candidate's group does not name (a
-// change of members that the candidate has not heard of) has no lease without a quorum that holds an entry of
-// its term, and one of those finds the candidate's log out of date.
+// A replica that has started may have acknowledged a lease before its restart, so it gives no vote for
+// `min_election_timeout`. Where all voters have started (after a power failure, say) nobody can hold a lease,
+// and they need not wait. A candidate learns this from each voter of the group, in replies to pre-votes at
+// its own term; a voter that has had contact with a leader since its start, leads, or is a candidate, does
+// not claim it. The claim stays true while votes are requested: whoever of them comes to lead later does so
+// in a term at least as high as the candidate's, and of one term there is one leader. A leader whom the
+// candidate's group does not name (a membership change that the candidate has not received) has no lease
+// without a quorum that holds an entry of its term, and one of those finds the candidate's log out of date.
 #include <algorithm>
 #include <utility>
 
@@ -15,45 +15,48 @@
 
 namespace violetwing::consensus {
 
-// ---- Time and roles ----
+// ---- Timers ----
 
 void Replica::Tick(Micros now) {
   now_ = now;
   if (leader()) {
-    if (!HearsQuorum(now) && now - led_since_ > timing_.election_least) return BecomeFollower(hard_.term, {});
-    ForgetSilentLearners(now);
-    if (now >= heartbeat_at_) SendHeartbeats(now);
+    const bool grace_over = now - leader_since_ > timing_.min_election_timeout;
+    if (!IsQuorumActive(now) && grace_over) return BecomeFollower(hard_.term, {});
+    RemoveUnresponsiveLearners(now);
+    if (now >= next_heartbeat_at_) SendHeartbeats(now);
     for (auto& [id, follower] : followers_)
-      if (follower.match < last()) SendAppend(follower, now);
+      if (follower.match_index < last()) SendAppend(follower, now);
     return;
   }
-  if (now >= election_at_ && IsMember(id_)) Campaign(false, now);
+  if (now >= election_deadline_ && IsMember(id_)) StartPreVote(now);
 }
 
-void Replica::ResetElection(Micros now) {
-  if (Starting(now)) {
-    election_at_ = NextTurn(now);
+void Replica::ResetElectionTimer(Micros now) {
+  if (InStartupPeriod(now)) {
+    election_deadline_ = NextStartupSlot(now);
     return;
   }
-  const auto spread = static_cast<std::uint64_t>(timing_.election_most - timing_.election_least);
-  election_at_ = now + timing_.election_least + static_cast<Micros>(random_.Below(spread + 1));
+  const auto spread = static_cast<std::uint64_t>(timing_.max_election_timeout - timing_.min_election_timeout);
+  election_deadline_ = now + timing_.min_election_timeout + static_cast<Micros>(random_.Below(spread + 1));
 }
 
-// The next of this replica's turns to look for votes while the group starts. Turns are counted from its own
-// start: where the others started at other times two may fall together, so each is moved a little by chance,
-// and turns come slower with each time that votes were asked for in vain.
-Micros Replica::NextTurn(Micros now) {
+// Slots are counted from this replica's own start. Where the others started at other times two may coincide,
+// so each is moved a little at random, and slots come less often with each election that failed.
+Micros Replica::NextStartupSlot(Micros now) {
   const std::size_t count = std::max<std::size_t>(members_.size(), 1);
-  std::size_t place = 0;
-  while (place < members_.size() && members_[place].id != id_) ++place;
-  const auto rank = static_cast<Micros>((place + count - timing_.start_first % count) % count);
-  const Micros round = static_cast<Micros>(count) * timing_.start_turn * (1 + campaigns_);
-  Micros turn = started_at_ + timing_.settle + rank * timing_.start_turn +
-                static_cast<Micros>(random_.Below(static_cast<std::uint64_t>(timing_.start_turn) / 2));
-  while (turn <= now) turn += round;
-  return turn;
+  std::size_t position = 0;
+  while (position < members_.size() && members_[position].id != id_) ++position;
+  const auto slot = static_cast<Micros>((position + count - timing_.startup_first_candidate % count) % count);
+  const Micros period = static_cast<Micros>(count) * timing_.startup_slot_duration * (1 + elections_started_);
+  const auto jitter =
+      static_cast<Micros>(random_.Below(static_cast<std::uint64_t>(timing_.startup_slot_duration) / 2));
+  Micros next = started_at_ + timing_.startup_election_delay + slot * timing_.startup_slot_duration + jitter;
+  while (next <= now) next += period;
+  return next;
 }
 
+// ---- Roles ----
+
 void Replica::BecomeFollower(Term term, std::optional<Member> leader) {
   role_ = Role::kFollower;
   known_leader_ = std::move(leader);
@@ -62,142 +65,121 @@
     hard_ = {term, {}};
     effects_.hard = hard_;
   }
-  ResetElection(now_);
+  ResetElectionTimer(now_);
 }
 
-void Replica::Campaign(bool real, Micros now) {
-  if (real) ++campaigns_;
-  ResetElection(now);
+void Replica::StartPreVote(Micros now) {
+  ResetElectionTimer(now);
   known_leader_.reset();
-  role_ = real ? Role::kCandidate : Role::kPreCandidate;
-  if (real) {
-    hard_ = {hard_.term + 1, id_};
-    effects_.hard = hard_;
-  }
-  const bool leaderless = real && AllKnowNoLeader();
-  votes_ = {id_};
-  leaderless_.clear();
-  if (KnowsNoLeader(now)) leaderless_ = {id_};
+  role_ = Role::kPreCandidate;
+  Message request = NewMessage(MessageKind::kPreVote, {});
+  request.term = hard_.term + 1;
+  RequestVotes(std::move(request), now);
+}
+
+void Replica::StartElection(Micros now) {
+  ++elections_started_;
+  ResetElectionTimer(now);
+  known_leader_.reset();
+  role_ = Role::kCandidate;
+  hard_ = {hard_.term + 1, id_};
+  effects_.hard = hard_;
+  Message request = NewMessage(MessageKind::kVote, {});
+  request.leaderless = AllVotersLeaderless();
+  RequestVotes(std::move(request), now);
+}
+
+void Replica::RequestVotes(Message request, Micros now) {
+  votes_granted_ = {id_};
+  leaderless_voters_.clear();
+  if (IsLeaderless(now)) leaderless_voters_ = {id_};
+  request.index = last();
+  request.log_term = TermAt(last());
   for (const Member& member : members_) {
     if (member.id == id_) continue;
-    Message message = Make(real ? MessageKind::kVote : MessageKind::kPreVote, member.id);
-    message.term = real ? hard_.term : hard_.term + 1;
-    message.index = last();
-    message.log_term = TermAt(last());
-    message.leaderless = leaderless;
-    effects_.messages_after_write.push_back(std::move(message));
+    request.to = member.id;
+    effects_.messages_after_write.push_back(request);
   }
   CountVotes(now);
 }
 
 void Replica::CountVotes(Micros now) {
   std::size_t granted = 0;
-  for (const Member& member : members_) granted += votes_.count(member.id);
+  for (const Member& member : members_) granted += votes_granted_.count(member.id);
   const bool elected = granted >= Quorum();
-  if (role_ == Role::kPreCandidate && (elected || AllKnowNoLeader())) return Campaign(true, now);
+  if (role_ == Role::kPreCandidate && (elected || AllVotersLeaderless())) return StartElection(now);
   if (role_ == Role::kCandidate && elected) BecomeLeader(now);
 }
 
 void Replica::BecomeLeader(Micros now) {
   role_ = Role::kLeader;
-  met_leader_ = true;
-  led_since_ = now;
-  written_ = 0;  // counted anew, as writes of this term are told
+  seen_leader_ = true;
+  leader_since_ = now;
+  durable_index_ = 0;  // counted from here on, by OnLogDurable
   followers_.clear();
   for (const Member& member : members_)
     if (member.id == id_) known_leader_ = member;
   SyncFollowers(now);
-  term_start_ = Append({hard_.term, EntryKind::kNoop, {}, {}});
+  term_start_index_ = AppendEntry({hard_.term, EntryKind::kNoop, {}, {}});
   SendHeartbeats(now);
-  Broadcast(now);
-}
-
-// Only replicas that hold an entry of the leader's term count: they refuse their vote to any whose log ends
-// in an earlier term, also where an election needs not wait for the end of the lease.
-Micros Replica::LeaseStart() const {
-  return ReachedByQuorum(now_, [this](const Follower& follower) {
-    return follower.match >= term_start_ ? follower.confirmed_at : 0;
-  });
-}
-
-bool Replica::HasLease(Micros now) const {
-  if (!leader()) return false;
-  const Micros start = members_.size() == 1 ? now : LeaseStart();
-  return start > 0 && now - start < timing_.lease;
-}
-
-// Also of followers that have yet to catch up: a leader that gave up meanwhile would send them all anew.
-bool Replica::HearsQuorum(Micros now) const {
-  if (members_.size() == 1) return true;
-  const Micros confirmed =
-      ReachedByQuorum(now, [](const Follower& follower) { return follower.confirmed_at; });
-  return confirmed > 0 && now - confirmed < timing_.election_least;
-}
-
-bool Replica::HasQuorumContact(Micros now) const {
-  if (leader()) return Ready() && HasLease(now);
-  return known_leader_.has_value() && proven_at_ > 0 && now - proven_at_ < timing_.follower_proof;
+  SendAppends(now);
 }
 
 // ---- Votes ----
 
-bool Replica::UpToDate(const Message& candidate) const {
-  const Term own = TermAt(last());
-  return candidate.log_term > own || (candidate.log_term == own && candidate.index >= last());
-}
-
-bool Replica::LeaseMayHold(Micros now) const {
-  return now - leader_heard_at_ < timing_.election_least || (leader() && HasLease(now));
+bool Replica::IsLogUpToDate(const Message& candidate) const {
+  const Term last_term = TermAt(last());
+  return candidate.log_term > last_term || (candidate.log_term == last_term && candidate.index >= last());
 }
 
-// Whether no lease can depend on this replica: its process has neither led nor heard a leader, and is not a
-// candidate that votes under way may make one.
-bool Replica::KnowsNoLeader(Micros now) const {
+// Its process has neither led nor had contact with a leader, and is not a candidate that votes in flight may
+// make one.
+bool Replica::IsLeaderless(Micros now) const {
   const bool passive = role_ == Role::kFollower || role_ == Role::kPreCandidate;
-  return !met_leader_ && passive && now - started_at_ >= timing_.settle;
+  return !seen_leader_ && passive && now - started_at_ >= timing_.startup_election_delay;
 }
 
-bool Replica::AllKnowNoLeader() const {
+bool Replica::AllVotersLeaderless() const {
   return std::all_of(members_.begin(), members_.end(),
-                     [&](const Member& member) { return leaderless_.count(member.id) > 0; });
+                     [&](const Member& member) { return leaderless_voters_.count(member.id) > 0; });
 }
 
 void Replica::OnPreVote(const Message& message, Micros now) {
-  const bool electable = message.term > hard_.term && UpToDate(message);
-  const bool held = LeaseMayHold(now);
-  Message reply = Make(MessageKind::kPreVoteReply, message.from);
+  const bool electable = message.term > hard_.term && IsLogUpToDate(message);
+  const bool lease_may_be_held = LeaseMayBeHeld(now);
+  Message reply = NewMessage(MessageKind::kPreVoteReply, message.from);
   reply.term = message.term;
-  reply.granted = electable && !held;
-  // At the candidate's own term: whatever this replica comes to lead later is of a higher one.
-  reply.leaderless = electable && message.term == hard_.term + 1 && KnowsNoLeader(now);
-  if (held && !reply.leaderless) return;
+  reply.granted = electable && !lease_may_be_held;
+  // Only at the candidate's own term: whatever this replica comes to lead later is of a higher one.
+  reply.leaderless = electable && message.term == hard_.term + 1 && IsLeaderless(now);
+  if (lease_may_be_held && !reply.leaderless) return;
   effects_.messages.push_back(std::move(reply));
 }
 
 void Replica::OnVote(const Message& message, Micros now) {
-  // While a leader's lease may hold, nobody else is elected, and terms do not rise.
-  const bool no_lease = message.leaderless && !met_leader_;
-  if (LeaseMayHold(now) && !no_lease) return;
+  // While a lease may be held nobody else is elected, and terms do not rise.
+  const bool no_lease = message.leaderless && !seen_leader_;
+  if (LeaseMayBeHeld(now) && !no_lease) return;
   if (message.term > hard_.term) BecomeFollower(message.term, {});
-  Message reply = Make(MessageKind::kVoteReply, message.from);
-  reply.granted = message.term == hard_.term && role_ == Role::kFollower && UpToDate(message) &&
+  Message reply = NewMessage(MessageKind::kVoteReply, message.from);
+  reply.granted = message.term == hard_.term && role_ == Role::kFollower && IsLogUpToDate(message) &&
                   (hard_.vote.empty() || hard_.vote == message.from);
   if (reply.granted && hard_.vote.empty()) {
     hard_.vote = message.from;
     effects_.hard = hard_;
   }
-  if (reply.granted) ResetElection(now);
+  if (reply.granted) ResetElectionTimer(now);
   effects_.messages_after_write.push_back(std::move(reply));
 }
 
 void Replica::OnVoteReply(const Message& message, Micros now) {
-  const bool pre = message.kind == MessageKind::kPreVoteReply;
-  if (!pre && message.term > hard_.term) return BecomeFollower(message.term, {});
-  const bool awaited = pre ? role_ == Role::kPreCandidate && message.term == hard_.term + 1
-                           : role_ == Role::kCandidate && message.term == hard_.term;
-  if (!awaited) return;
-  if (message.granted) votes_.insert(message.from);
-  if (message.leaderless) leaderless_.insert(message.from);
+  const bool pre_vote = message.kind == MessageKind::kPreVoteReply;
+  if (!pre_vote && message.term > hard_.term) return BecomeFollower(message.term, {});
+  const bool expected = pre_vote ? role_ == Role::kPreCandidate && message.term == hard_.term + 1
+                                 : role_ == Role::kCandidate && message.term == hard_.term;
+  if (!expected) return;
+  if (message.granted) votes_granted_.insert(message.from);
+  if (message.leaderless) leaderless_voters_.insert(message.from);
   CountVotes(now);
 }
 
--- a/src/messages/consensus.cpp
+++ b/src/control/consensus/encoding.cpp
@@ -1,4 +1,4 @@
-#include "messages/consensus.hpp"
+#include "control/consensus/encoding.hpp"
 
 #include <algorithm>
 
@@ -83,7 +83,7 @@
   if (entry.kind == EntryKind::kMembers) ToWire(entry.members, *out.mutable_members());
 }
 
-// False where an entry says to be of two kinds.
+// False where an entry claims to be of two kinds.
 bool FromWire(const wire::Entry& in, Entry& entry) {
   if (in.has_command() && in.has_members()) return false;
   entry.term = in.term();
@@ -116,8 +116,8 @@
   return true;
 }
 
-// Whether all fields are there that a message of its kind has.
-bool IsWhole(const WireMessage& in) {
+// Whether all fields are present that a message of its kind requires.
+bool HasRequiredFields(const WireMessage& in) {
   switch (in.kind()) {
     case WireMessage::HEARTBEAT:
       return in.has_commit() && in.has_leader_commit() && in.has_sent_at() && in.has_follower_sent_at() &&
@@ -197,7 +197,7 @@
 }
 
 bool FromWire(const wire::ConsensusMessage& in, Message& message) {
-  if (!IsWhole(in)) return false;
+  if (!HasRequiredFields(in)) return false;
   message.kind = FromWire(in.kind());
   message.from = in.from();
   message.to = in.to();
--- a/src/control/consensus/fingerprint.cpp
+++ b/src/control/consensus/fingerprint.cpp
@@ -1,4 +1,5 @@
-// What decides a replica's next steps, as text: two replicas with the same text behave alike, times aside.
+// The state of a replica as text, for tests that explore all states: two replicas with the same text behave
+// alike, times aside.
 #include <string>
 
 #include "control/consensus/replica.hpp"
@@ -6,6 +7,7 @@
 namespace violetwing::consensus {
 namespace {
 
+// Concatenates fields, each followed by a space.
 class Text {
  public:
   Text& operator<<(std::uint64_t number) {
@@ -37,18 +39,19 @@
 std::string Replica::Fingerprint() const {
   Text text;
   text << id_ << hard_.term << hard_.vote << snapshot_.index << snapshot_.term << snapshot_.members
-       << snapshot_.state << base_;
-  for (const Entry& entry : entries_)
+       << snapshot_.state << log_.base();
+  for (const Entry& entry : log_.entries())
     text << entry.term << static_cast<std::uint64_t>(entry.kind) << entry.command << entry.members;
-  text << commit_ << applied_ << written_ << static_cast<std::uint64_t>(role_) << std::uint64_t{met_leader_}
-       << (known_leader_ ? known_leader_->id : std::string("-"));
-  text << votes_ << leaderless_ << leaving_;
+  text << commit_ << applied_ << durable_index_ << static_cast<std::uint64_t>(role_)
+       << std::uint64_t{seen_leader_} << (known_leader_ ? known_leader_->id : std::string("-"));
+  text << votes_granted_ << leaderless_voters_ << draining_;
   for (const auto& [id, follower] : followers_) {
-    text << id << follower.next << follower.match << std::uint64_t{follower.appended_at > 0};
+    text << id << follower.next_index << follower.match_index << std::uint64_t{follower.append_sent_at > 0};
     if (follower.snapshot) text << follower.snapshot->index << follower.snapshot_offset;
   }
   for (const auto& [id, learner] : learners_) text << id;
-  if (incoming_) text << incoming_->from << incoming_->index << incoming_->state;
+  if (incoming_snapshot_)
+    text << incoming_snapshot_->from << incoming_snapshot_->index << incoming_snapshot_->state;
   return text.Take();
 }
 
--- a/src/control/consensus/membership.cpp
+++ b/src/control/consensus/membership.cpp
@@ -1,54 +1,84 @@
 #include "control/consensus/membership.hpp"
 
 #include <algorithm>
+#include <vector>
 
 namespace violetwing::consensus {
 namespace {
 
-// Of the time to catch up; the rest is for an election, where the leader was lost, and for two changes of the
-// group that wait for a slow disk. A voter that stands still for less is never replaced.
-constexpr Micros kReplacedShare = 2;
-constexpr Micros kReplacedLeast = 1'500'000;
-constexpr Micros kReplacedMost = 6'000'000;
+// A voter is replaced after this part of the time to catch up; the rest is for an election, where the leader
+// was lost, and for two membership changes that wait for a slow disk.
+constexpr Micros kCatchUpDivisor = 2;
+// A voter that stalls for less than the minimum is never replaced.
+constexpr Micros kMinReplacementTimeout = 1'500'000;
+constexpr Micros kMaxReplacementTimeout = 6'000'000;
+
+using Statuses = std::vector<FollowerStatus>;
 
 Members Without(Members members, const ReplicaId& id) {
   std::erase_if(members, [&](const Member& member) { return member.id == id; });
   return members;
 }
 
+bool IsAlive(const FollowerStatus& follower, const MembershipPolicy& policy, Micros now) {
+  return !follower.draining && now - follower.last_contact_at < policy.liveness_timeout;
+}
+
+// A voter whose machine now runs a learner: its disk was replaced, so it is lost for good.
+const FollowerStatus* FindVoterWithLostDisk(const Statuses& followers, const MembershipPolicy& policy,
+                                            Micros now) {
+  for (const FollowerStatus& voter : followers) {
+    if (!voter.voter || IsAlive(voter, policy, now)) continue;
+    const bool replaced = std::any_of(followers.begin(), followers.end(), [&](const FollowerStatus& learner) {
+      return !learner.voter && learner.member.address == voter.member.address &&
+             IsAlive(learner, policy, now);
+    });
+    if (replaced) return &voter;
+  }
+  return nullptr;
+}
+
+const FollowerStatus* FindPromotableLearner(const Statuses& followers, const MembershipPolicy& policy,
+                                            Micros now) {
+  const auto it = std::find_if(followers.begin(), followers.end(), [&](const FollowerStatus& follower) {
+    return !follower.voter && follower.caught_up && IsAlive(follower, policy, now);
+  });
+  return it == followers.end() ? nullptr : &*it;
+}
+
+const FollowerStatus* FindReplaceableVoter(const Statuses& followers, const MembershipPolicy& policy,
+                                           Micros now) {
+  const auto it = std::find_if(followers.begin(), followers.end(), [&](const FollowerStatus& follower) {
+    return follower.voter &&
+           (follower.draining || now - follower.last_contact_at > policy.replacement_timeout);
+  });
+  return it == followers.end() ? nullptr : &*it;
+}
+
 }  // namespace
 
-MemberPolicy MakeMemberPolicy(std::size_t wanted, Micros catch_up) {
-  MemberPolicy policy;
-  policy.wanted = wanted;
-  policy.replaced_after = std::clamp(catch_up / kReplacedShare, kReplacedLeast, kReplacedMost);
+MembershipPolicy MakeMembershipPolicy(std::size_t target_voters, Micros catch_up) {
+  MembershipPolicy policy;
+  policy.target_voters = target_voters;
+  policy.replacement_timeout =
+      std::clamp(catch_up / kCatchUpDivisor, kMinReplacementTimeout, kMaxReplacementTimeout);
   return policy;
 }
 
-std::optional<Members> NextMembers(const Replica& leader, const MemberPolicy& policy, Micros now) {
+std::optional<Members> NextMembership(const Replica& leader, const MembershipPolicy& policy, Micros now) {
   if (!leader.Ready()) return std::nullopt;
-  const std::vector<Replica::Progress> followers = leader.Followers();
-  const auto present = [&](const Replica::Progress& one) {
-    return !one.leaving && now - one.heard_at < policy.present_within;
-  };
-  // A disk that another one has replaced on its machine is lost for good: it must count no longer.
-  for (const Replica::Progress& voter : followers)
-    for (const Replica::Progress& learner : followers)
-      if (voter.voter && !learner.voter && voter.member.address == learner.member.address &&
-          present(learner) && !present(voter))
-        return Without(leader.members(), voter.member.id);
-  const auto ready = std::find_if(followers.begin(), followers.end(), [&](const Replica::Progress& one) {
-    return !one.voter && one.caught_up && present(one);
-  });
-  if (ready == followers.end()) return std::nullopt;
-  if (leader.members().size() < policy.wanted) {
+  const Statuses followers = leader.FollowerStatuses();
+  if (const FollowerStatus* lost = FindVoterWithLostDisk(followers, policy, now))
+    return Without(leader.members(), lost->member.id);
+  const FollowerStatus* const successor = FindPromotableLearner(followers, policy, now);
+  if (successor == nullptr) return std::nullopt;
+  if (leader.members().size() < policy.target_voters) {
     Members grown = leader.members();
-    grown.push_back(ready->member);
+    grown.push_back(successor->member);
     return grown;
   }
-  for (const Replica::Progress& voter : followers)
-    if (voter.voter && (voter.leaving || now - voter.heard_at > policy.replaced_after))
-      return Without(leader.members(), voter.member.id);
+  if (const FollowerStatus* voter = FindReplaceableVoter(followers, policy, now))
+    return Without(leader.members(), voter->member.id);
   return std::nullopt;
 }
 
--- a/src/control/consensus/replication.cpp
+++ b/src/control/consensus/replication.cpp
@@ -1,4 +1,4 @@
-// The leader's side of replication: what each follower is sent, what it holds, and what a quorum holds.
+// The leader's side of replication: what each follower is sent, what it stores, and what a quorum stores.
 #include <algorithm>
 #include <utility>
 
@@ -7,24 +7,28 @@
 namespace violetwing::consensus {
 namespace {
 
-// What one message carries at most: bounds its size, the time that reading it takes, and how long heartbeats
-// to the same process wait behind it. An entry that is larger goes alone.
-constexpr std::size_t kMostEntries = 64;
-constexpr std::size_t kMostBytes = std::size_t{256} * 1024;
-// A learner that was not heard for so long is sent nothing more: it asks again if it is there.
-constexpr Micros kForgetLearner = 10'000'000;
+// Bounds of one append or chunk: they limit its size, the time that decoding takes, and how long heartbeats
+// to the same process wait behind it. An entry that is larger is sent alone.
+constexpr std::size_t kMaxAppendEntries = 64;
+constexpr std::size_t kMaxAppendBytes = std::size_t{256} * 1024;
+// A learner without contact for this long is dropped: it asks to join again if it is alive.
+constexpr Micros kLearnerTimeout = 10'000'000;
 
 }  // namespace
 
+// ---- Followers ----
+
+// Makes followers_ the other members and the learners, without losing what is known of them.
 void Replica::SyncFollowers(Micros now) {
   const auto ensure = [&](const Member& member) {
     if (member.id == id_) return;
-    Follower fresh;
-    fresh.member = member;
-    fresh.next = last() + 1;
-    fresh.heard_at = fresh.round_began_at = now;
-    fresh.round_target = last();
-    followers_.try_emplace(member.id, fresh);
+    FollowerProgress progress;
+    progress.member = member;
+    progress.next_index = last() + 1;
+    progress.last_contact_at = now;
+    progress.round_started_at = now;
+    progress.round_target = last();
+    followers_.try_emplace(member.id, progress);
   };
   for (const Member& member : members_) {
     ensure(member);
@@ -36,129 +40,157 @@
   });
 }
 
-void Replica::ForgetSilentLearners(Micros now) {
-  for (auto it = learners_.begin(); it != learners_.end();) {
-    const auto follower = followers_.find(it->first);
-    const bool silent = follower != followers_.end() && now - follower->second.heard_at > kForgetLearner;
-    if (silent) followers_.erase(follower);
-    it = silent ? learners_.erase(it) : std::next(it);
+void Replica::RemoveUnresponsiveLearners(Micros now) {
+  std::erase_if(learners_, [&](const auto& learner) {
+    const auto follower = followers_.find(learner.first);
+    if (follower == followers_.end() || now - follower->second.last_contact_at <= kLearnerTimeout)
+      return false;
+    followers_.erase(follower);
+    return true;
+  });
+}
+
+std::vector<FollowerStatus> Replica::FollowerStatuses() const {
+  std::vector<FollowerStatus> statuses;
+  if (!leader()) return statuses;
+  for (const auto& [id, follower] : followers_) {
+    const bool caught_up_lately =
+        follower.caught_up_at > 0 && now_ - follower.caught_up_at < timing_.max_election_timeout;
+    const bool caught_up = follower.match_index > 0 && (follower.match_index >= commit_ || caught_up_lately);
+    statuses.push_back(
+        {follower.member, IsMember(id), follower.last_contact_at, caught_up, draining_.count(id) > 0});
   }
+  return statuses;
+}
+
+FollowerProgress* Replica::FindReplyingFollower(const Message& reply) {
+  const auto it = followers_.find(reply.from);
+  if (!leader() || reply.term != hard_.term || it == followers_.end()) return nullptr;
+  return &it->second;
 }
 
-void Replica::Broadcast(Micros now) {
+// ---- Entries ----
+
+void Replica::SendAppends(Micros now) {
   for (auto& [id, follower] : followers_) SendAppend(follower, now);
   AdvanceCommit();
 }
 
-void Replica::SendAppend(Follower& follower, Micros now) {
-  if (follower.appended_at > 0 && now - follower.appended_at < timing_.append_again) return;
-  follower.appended_at = now;
-  if (follower.snapshot || follower.next <= base_) return SendSnapshot(follower);
-  Message message = Make(MessageKind::kAppend, follower.member.id);
-  message.index = follower.next - 1;
+void Replica::SendAppend(FollowerProgress& follower, Micros now) {
+  const bool in_flight =
+      follower.append_sent_at > 0 && now - follower.append_sent_at < timing_.append_retry_interval;
+  if (in_flight) return;
+  follower.append_sent_at = now;
+  if (follower.snapshot || follower.next_index <= log_.base()) return SendSnapshotChunk(follower);
+  Message message = NewMessage(MessageKind::kAppend, follower.member.id);
+  message.index = follower.next_index - 1;
   message.log_term = TermAt(message.index);
   message.commit = commit_;
   std::size_t bytes = 0;
-  for (Index index = follower.next; index <= last() && message.entries.size() < kMostEntries; ++index) {
-    bytes += At(index).command.size();
-    if (bytes > kMostBytes && !message.entries.empty()) break;
-    message.entries.push_back(At(index));
-  }
-  effects_.messages.push_back(std::move(message));
-}
-
-// The next piece of the snapshot that is on its way there; a new one begins where none is.
-void Replica::SendSnapshot(Follower& follower) {
-  if (!follower.snapshot) {
-    follower.snapshot = std::make_shared<const Snapshot>(snapshot_);
-    follower.snapshot_offset = 0;
+  for (Index index = follower.next_index; index <= last(); ++index) {
+    if (message.entries.size() >= kMaxAppendEntries) break;
+    const Entry& entry = log_.At(index);
+    bytes += entry.command.size();
+    if (bytes > kMaxAppendBytes && !message.entries.empty()) break;
+    message.entries.push_back(entry);
   }
-  const Snapshot& whole = *follower.snapshot;
-  Message message = Make(MessageKind::kSnapshot, follower.member.id);
-  message.offset = follower.snapshot_offset;
-  message.size = whole.state.size();
-  message.snapshot =
-      Snapshot{whole.index, whole.term, whole.members, whole.state.substr(message.offset, kMostBytes)};
   effects_.messages.push_back(std::move(message));
 }
 
-void Replica::OnSnapshotReply(const Message& message, Micros now) {
-  const auto it = followers_.find(message.from);
-  if (!leader() || message.term != hard_.term || it == followers_.end()) return;
-  Follower& follower = it->second;
-  follower.heard_at = now;
-  if (!follower.snapshot || message.index != follower.snapshot->index) return;
-  follower.appended_at = 0;
-  follower.snapshot_offset = std::min(message.offset, follower.snapshot->state.size());
-  SendAppend(follower, now);
-}
-
 void Replica::OnAppendReply(const Message& message, Micros now) {
   if (message.term > hard_.term) return BecomeFollower(message.term, {});
-  const auto it = followers_.find(message.from);
-  if (!leader() || message.term != hard_.term || it == followers_.end()) return;
-  Follower& follower = it->second;
-  follower.heard_at = now;
-  follower.appended_at = 0;
+  FollowerProgress* const follower = FindReplyingFollower(message);
+  if (follower == nullptr) return;
+  follower->last_contact_at = now;
+  follower->append_sent_at = 0;
   if (message.granted) {
-    follower.match = std::max(follower.match, std::min(message.index, last()));
-    follower.next = std::max(follower.next, follower.match + 1);
-    if (follower.snapshot && follower.match >= follower.snapshot->index) follower.snapshot.reset();
-    CountRound(follower, now);
+    follower->match_index = std::max(follower->match_index, std::min(message.index, last()));
+    follower->next_index = std::max(follower->next_index, follower->match_index + 1);
+    if (follower->snapshot && follower->match_index >= follower->snapshot->index) follower->snapshot.reset();
+    UpdateCatchUpRound(*follower, now);
     AdvanceCommit();
   } else {
-    follower.next = std::max(follower.match + 1, std::min(follower.next, message.index + 1));
+    follower->next_index =
+        std::max(follower->match_index + 1, std::min(follower->next_index, message.index + 1));
   }
-  if (follower.match < last()) SendAppend(follower, now);
+  if (follower->match_index < last()) SendAppend(*follower, now);
 }
 
-// Ongaro 2014, 4.2.1: a replica that keeps coming closer need never hold all at the moment of a look.
-void Replica::CountRound(Follower& follower, Micros now) const {
-  if (follower.match < follower.round_target) return;
-  if (now - follower.round_began_at <= timing_.election_least) follower.caught_up_at = now;
+// Rounds as in Ongaro 2014, 4.2.1: under a steady load a replica that keeps coming closer may never hold all
+// entries at the moment at which it is looked at.
+void Replica::UpdateCatchUpRound(FollowerProgress& follower, Micros now) const {
+  if (follower.match_index < follower.round_target) return;
+  if (now - follower.round_started_at <= timing_.min_election_timeout) follower.caught_up_at = now;
   follower.round_target = last();
-  follower.round_began_at = now;
+  follower.round_started_at = now;
 }
 
-void Replica::SendHeartbeats(Micros now) {
-  heartbeat_at_ = now + timing_.heartbeat;
-  const Micros start = members_.size() > 1 ? LeaseStart() : now;
-  const Micros quorum_age = Ready() && HasLease(now) ? now - start : Micros{-1};
-  for (auto& [id, follower] : followers_) {
-    Message message = Make(MessageKind::kHeartbeat, id);
-    message.commit = std::min(commit_, follower.match);
-    message.leader_commit = commit_;
-    message.sent_at = now;
-    message.follower_sent_at = follower.reply_sent_at;
-    message.quorum_age = quorum_age;
-    effects_.messages.push_back(std::move(message));
-  }
+void Replica::OnLogDurable(Index index, Term term) {
+  if (!leader() || TermAt(index) != term) return;
+  durable_index_ = std::max(durable_index_, index);
+  AdvanceCommit();
 }
 
 void Replica::AdvanceCommit() {
-  const Index index = ReachedByQuorum(written_, [](const Follower& follower) { return follower.match; });
-  // Entries of earlier terms are committed only by one of this term that follows them.
+  const Index index =
+      ReachedByQuorum(durable_index_, [](const FollowerProgress& follower) { return follower.match_index; });
+  // Entries of earlier terms are committed only by one of this term that follows them (Ongaro 2014, 3.6.2).
   if (index <= commit_ || TermAt(index) != hard_.term) return;
   CommitUpTo(index);
-  SendHeartbeats(now_);  // so that the others apply it at once
+  SendHeartbeats(now_);  // so that the followers apply it at once
 }
 
-void Replica::SetLeaving(const ReplicaId& id, bool leaving) {
-  if (leaving)
-    leaving_.insert(id);
-  else
-    leaving_.erase(id);
+// ---- Snapshots ----
+
+// The next chunk of the snapshot in transfer; a new transfer begins where there is none.
+void Replica::SendSnapshotChunk(FollowerProgress& follower) {
+  if (!follower.snapshot) {
+    follower.snapshot = std::make_shared<const Snapshot>(snapshot_);
+    follower.snapshot_offset = 0;
+  }
+  const Snapshot& complete = *follower.snapshot;
+  Message message = NewMessage(MessageKind::kSnapshot, follower.member.id);
+  message.offset = follower.snapshot_offset;
+  message.size = complete.state.size();
+  message.snapshot = Snapshot{complete.index, complete.term, complete.members,
+                              complete.state.substr(message.offset, kMaxAppendBytes)};
+  effects_.messages.push_back(std::move(message));
 }
 
-std::vector<Replica::Progress> Replica::Followers() const {
-  std::vector<Progress> out;
-  if (!leader()) return out;
-  for (const auto& [id, follower] : followers_) {
-    const bool lately = follower.caught_up_at > 0 && now_ - follower.caught_up_at < timing_.election_most;
-    const bool caught_up = follower.match > 0 && (follower.match >= commit_ || lately);
-    out.push_back({follower.member, IsMember(id), follower.heard_at, caught_up, leaving_.count(id) > 0});
+void Replica::OnSnapshotReply(const Message& message, Micros now) {
+  FollowerProgress* const follower = FindReplyingFollower(message);
+  if (follower == nullptr) return;
+  follower->last_contact_at = now;
+  if (!follower->snapshot || message.index != follower->snapshot->index) return;
+  follower->append_sent_at = 0;
+  follower->snapshot_offset = std::min(message.offset, follower->snapshot->state.size());
+  SendAppend(*follower, now);
+}
+
+// ---- Heartbeats ----
+
+void Replica::SendHeartbeats(Micros now) {
+  next_heartbeat_at_ = now + timing_.heartbeat_interval;
+  const Micros lease_start = members_.size() > 1 ? LeaseStart() : now;
+  const Micros quorum_age = Ready() && HasLease(now) ? now - lease_start : Micros{-1};
+  for (auto& [id, follower] : followers_) {
+    Message message = NewMessage(MessageKind::kHeartbeat, id);
+    message.commit = std::min(commit_, follower.match_index);
+    message.leader_commit = commit_;
+    message.sent_at = now;
+    message.follower_sent_at = follower.last_reply_sent_at;
+    message.quorum_age = quorum_age;
+    effects_.messages.push_back(std::move(message));
   }
-  return out;
+}
+
+void Replica::OnHeartbeatReply(const Message& message, Micros now) {
+  FollowerProgress* const follower = FindReplyingFollower(message);
+  if (follower == nullptr) return;
+  follower->last_contact_at = now;
+  follower->acknowledged_heartbeat_sent_at =
+      std::max(follower->acknowledged_heartbeat_sent_at, message.sent_at);
+  follower->last_reply_sent_at = std::max(follower->last_reply_sent_at, message.follower_sent_at);
 }
 
 }  // namespace violetwing::consensus
--- a/src/control/control_core.hpp
+++ b/src/control/control_core.hpp
@@ -129,7 +129,7 @@
   std::deque<PendingWatch> pending_watches_;
   VersionVector told_;        // what sidecars have been woken for
   std::uint64_t spread_ = 0;  // the last change of this process that the others were to hear of
-  const consensus::MemberPolicy member_policy_;
+  const consensus::MembershipPolicy member_policy_;
   Micros quorum_contact_since_ = 0;    // 0: without contact
   Micros quorum_contact_lost_at_ = 0;  // 0: in contact
   bool pulls_due_ = false;
--- a/src/control/replication/replicated_state_machine.cpp
+++ b/src/control/replication/replicated_state_machine.cpp
@@ -161,7 +161,8 @@
 }
 
 bool ReplicatedStateMachine::CompactionDue() const {
-  return replica_.entries() > kCompactAfter || machine_.worked() - worked_at_snapshot_ > kCompactAfterBytes ||
+  return replica_.entries_since_snapshot() > kCompactAfter ||
+         machine_.worked() - worked_at_snapshot_ > kCompactAfterBytes ||
          logged_since_snapshot_ > kCompactAfterLogged;
 }
 
@@ -178,7 +179,7 @@
   const Unwritten unwritten = std::move(it->second);
   unwritten_.erase(it);
   Send(unwritten.messages);
-  if (unwritten.last > 0) replica_.Written(unwritten.last, unwritten.term);
+  if (unwritten.last > 0) replica_.OnLogDurable(unwritten.last, unwritten.term);
   Flush();
   return true;
 }
--- a/src/control/replication/shards.cpp
+++ b/src/control/replication/shards.cpp
@@ -83,7 +83,7 @@
     const std::uint64_t seed =
         XXH64(incarnation.data(), incarnation.size(), static_cast<std::uint64_t>(shard));
     consensus::Timing timing;
-    timing.start_first = static_cast<std::size_t>(shard);
+    timing.startup_first_candidate = static_cast<std::size_t>(shard);
     MakeReplica(shard, incarnation, *machines_.back(),
                 consensus::Replica(disk_, founders, std::move(stored.shards[shard]), timing, seed, now));
   }
@@ -164,20 +164,20 @@
 std::vector<int> Shards::Joins(Micros now) const {
   std::vector<int> out;
   for (const auto& group : groups_)
-    if (group->replica().WantsToJoin(now)) out.push_back(group->shard());
+    if (group->replica().NeedsToJoin(now)) out.push_back(group->shard());
   return out;
 }
 
 void Shards::SetLeaving(const std::string& disk, bool leaving) {
-  for (const auto& group : groups_) group->replica().SetLeaving(disk, leaving);
+  for (const auto& group : groups_) group->replica().SetDraining(disk, leaving);
 }
 
-std::vector<std::string> Shards::ReviewMembers(const consensus::MemberPolicy& policy, Micros now) {
+std::vector<std::string> Shards::ReviewMembers(const consensus::MembershipPolicy& policy, Micros now) {
   std::vector<std::string> addresses;
   for (const auto& group : groups_) {
     for (const consensus::Member& member : group->replica().members()) addresses.push_back(member.address);
-    const auto next = consensus::NextMembers(group->replica(), policy, now);
-    if (!next || !group->replica().ProposeMembers(*next)) continue;
+    const auto next = consensus::NextMembership(group->replica(), policy, now);
+    if (!next || !consensus::IsAppended(group->replica().ProposeMembers(*next))) continue;
     spdlog::info("shard {}: the group changes to {} replicas", group->shard(), next->size());
     group->Tick(now);
   }
--- a/src/control/replication/shards.hpp
+++ b/src/control/replication/shards.hpp
@@ -53,7 +53,7 @@
   // Where the process with this disk takes internal calls, by its own word.
   void Meet(const std::string& disk, const std::string& address) { addresses_[disk] = address; }
   // Changes the groups that this process leads where that is due; returns the addresses of all members.
-  std::vector<std::string> ReviewMembers(const consensus::MemberPolicy& policy, Micros now);
+  std::vector<std::string> ReviewMembers(const consensus::MembershipPolicy& policy, Micros now);
   // The process with this disk is about to end, by its own word, or is not any more.
   void SetLeaving(const std::string& disk, bool leaving);
   // Shards in which this disk has no vote, or does not hear whether it has one.
--- a/src/control/storage/json_form.hpp
+++ b/src/control/storage/json_form.hpp
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "control/consensus/replica.hpp"
+#include "control/consensus/types.hpp"
 
 namespace violetwing {
 
--- a/src/control/storage/store.cpp
+++ b/src/control/storage/store.cpp
@@ -3,8 +3,8 @@
 #include <chrono>
 #include <utility>
 
+#include "control/consensus/encoding.hpp"
 #include "control/storage/json_form.hpp"
-#include "messages/consensus.hpp"
 
 namespace violetwing {
 namespace {
--- a/src/control/storage/store.hpp
+++ b/src/control/storage/store.hpp
@@ -18,7 +18,7 @@
 #include <thread>
 #include <vector>
 
-#include "control/consensus/replica.hpp"
+#include "control/consensus/types.hpp"
 
 namespace violetwing {
 
--- a/src/messages/peer.cpp
+++ b/src/messages/peer.cpp
@@ -1,7 +1,7 @@
 #include "messages/peer.hpp"
 
+#include "control/consensus/encoding.hpp"
 #include "generated/internal.pb.h"
-#include "messages/consensus.hpp"
 #include "messages/load.hpp"
 #include "messages/parse.hpp"
 
--- a/src/messages/peer.hpp
+++ b/src/messages/peer.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "control/consensus/replica.hpp"
+#include "control/consensus/types.hpp"
 #include "messages/instances.hpp"
 
 namespace violetwing {
--- a/tests/control/consensus/election_test.cpp
+++ b/tests/control/consensus/election_test.cpp
@@ -9,7 +9,7 @@
 
 const Members kThree = {{"a", "a:1"}, {"b", "b:1"}, {"c", "c:1"}};
 constexpr Micros kStart = 1'000'000;
-constexpr Micros kSettled = kStart + Timing{}.settle;
+constexpr Micros kSettled = kStart + Timing{}.startup_election_delay;
 constexpr Term kTerm = 4;
 
 // Replica "a" as it starts with a log that ends in `kTerm`.
@@ -63,7 +63,7 @@
 
 void TickUntilCandidate(Replica& replica) {
   Micros now = kSettled;
-  for (int i = 0; i < 10; ++i) replica.Tick(now += Timing{}.start_turn);
+  for (int i = 0; i < 10; ++i) replica.Tick(now += Timing{}.startup_slot_duration);
   for (const ReplicaId id : {"b", "c"}) {
     Message reply = From(id, MessageKind::kPreVoteReply, kTerm + 1);
     reply.leaderless = true;
@@ -118,7 +118,7 @@
 
 TEST_CASE("A candidate needs the word of every voter, a majority's is not enough before a lease is over") {
   Replica replica = Restarted();
-  replica.Tick(kSettled + Timing{}.start_turn);
+  replica.Tick(kSettled + Timing{}.startup_slot_duration);
   Message reply = From("b", MessageKind::kPreVoteReply, kTerm + 1);
   reply.leaderless = true;
   replica.Step(reply, kSettled);
@@ -171,7 +171,7 @@
   REQUIRE(replica.HasLease(now));
   CHECK_FALSE(replica.HasQuorumContact(
       now));  // its own disk has not written the entry of its term: a quorum lacks it
-  replica.Written(replica.last(), kTerm + 1);
+  replica.OnLogDurable(replica.last(), kTerm + 1);
   CHECK(replica.HasQuorumContact(now));
 }
 
@@ -192,7 +192,7 @@
 }  // namespace
 
 TEST_CASE("A follower's proof counts from its own reply, however late the heartbeat is read") {
-  constexpr Micros kProvenUntil = kReplied - kQuorumAge + Timing{}.follower_proof;
+  constexpr Micros kProvenUntil = kReplied - kQuorumAge + Timing{}.follower_read_validity;
   Replica replica = Restarted();
   replica.Step(ProvingHeartbeat(), kReplied + 10'000);
   CHECK(replica.HasQuorumContact(kProvenUntil - 1));
--- a/tests/control/consensus/membership_test.cpp
+++ b/tests/control/consensus/membership_test.cpp
@@ -258,10 +258,10 @@
 }
 
 TEST_CASE("The time to replace a voter follows the time in which its machine counts as lost") {
-  CHECK(MakeMemberPolicy(3, 4 * kSecond).replaced_after == 2 * kSecond);
-  CHECK(MakeMemberPolicy(5, 6 * kSecond).replaced_after == 3 * kSecond);
-  CHECK(MakeMemberPolicy(3, 0).replaced_after > MakeMemberPolicy(3, 0).present_within);
-  CHECK(MakeMemberPolicy(3, 100 * kSecond).replaced_after == 6 * kSecond);
+  CHECK(MakeMembershipPolicy(3, 4 * kSecond).replacement_timeout == 2 * kSecond);
+  CHECK(MakeMembershipPolicy(5, 6 * kSecond).replacement_timeout == 3 * kSecond);
+  CHECK(MakeMembershipPolicy(3, 0).replacement_timeout > MakeMembershipPolicy(3, 0).liveness_timeout);
+  CHECK(MakeMembershipPolicy(3, 100 * kSecond).replacement_timeout == 6 * kSecond);
 }
 
 }  // namespace violetwing::consensus
--- a/tests/control/consensus/replica_test.cpp
+++ b/tests/control/consensus/replica_test.cpp
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 #include <cstdlib>
 
-#include "messages/consensus.hpp"
+#include "control/consensus/encoding.hpp"
 #include "testing/cluster.hpp"
 #include "testing/wire_fields.hpp"
 
--- a/tests/control/consensus/replication_test.cpp
+++ b/tests/control/consensus/replication_test.cpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <string>
 
-#include "messages/consensus.hpp"
+#include "control/consensus/encoding.hpp"
 #include "testing/cluster.hpp"
 
 namespace violetwing::consensus {
--- a/tests/control/digest_test.cpp
+++ b/tests/control/digest_test.cpp
@@ -14,8 +14,8 @@
 #include <vector>
 
 #include "common/random.hpp"
+#include "control/consensus/encoding.hpp"
 #include "dataplane/load_balancing/load_balancer.hpp"
-#include "messages/consensus.hpp"
 #include "testing/cluster.hpp"
 #include "testing/configuration_document.hpp"
 #include "testing/model_servers.hpp"
--- a/tests/testing/cluster.hpp
+++ b/tests/testing/cluster.hpp
@@ -125,7 +125,7 @@
   // Proposed at that machine, if it leads; acknowledged once it is applied there.
   bool Propose(std::size_t i, const std::string& command) {
     Machine& machine = machines_[i];
-    if (machine.replica == nullptr || !machine.replica->Propose(command)) return false;
+    if (machine.replica == nullptr || !IsAppended(machine.replica->Propose(command))) return false;
     Carry(i);
     return true;
   }
@@ -211,7 +211,7 @@
       } else {
         for (const Message& message : effects.messages_after_write) Send(i, message);
       }
-      if (machine.replica->entries() > compact_after)
+      if (machine.replica->entries_since_snapshot() > compact_after)
         machine.replica->Compact(nlohmann::json(machine.applied).dump());
     }
   }
@@ -236,7 +236,7 @@
       Store(machine, write);
       for (const Message& message : write.messages_after_write) Send(i, message);
       if (!write.entries.empty())
-        machine.replica->Written(write.first + write.entries.size() - 1, write.entries.back().term);
+        machine.replica->OnLogDurable(write.first + write.entries.size() - 1, write.entries.back().term);
     }
     BeginWrites(machine);
     Carry(i);
@@ -290,11 +290,11 @@
       if (!Up(i) || !machines_[i].replica->leader() || machines_[i].asleep_until > now_) continue;
       for (std::size_t j = 0; j < machines_.size(); ++j)
         if (Up(j) && !machines_[j].removed && machines_[j].asleep_until <= now_ && cuts_.count({j, i}) == 0 &&
-            machines_[j].replica->WantsToJoin(now_))
+            machines_[j].replica->NeedsToJoin(now_))
           machines_[i].replica->AddLearner({machines_[j].disk_id, machines_[j].address}, now_);
-      for (const Machine& other : machines_) machines_[i].replica->SetLeaving(other.disk_id, other.leaving);
-      const MemberPolicy policy = MakeMemberPolicy(founders_.size(), catch_up);
-      if (const auto next = NextMembers(*machines_[i].replica, policy, now_))
+      for (const Machine& other : machines_) machines_[i].replica->SetDraining(other.disk_id, other.leaving);
+      const MembershipPolicy policy = MakeMembershipPolicy(founders_.size(), catch_up);
+      if (const auto next = NextMembership(*machines_[i].replica, policy, now_))
         machines_[i].replica->ProposeMembers(*next);
       Carry(i);
     }
--- a/tests/testing/exploration.hpp
+++ b/tests/testing/exploration.hpp
@@ -23,8 +23,8 @@
 #include <vector>
 
 #include "common/time.hpp"
+#include "control/consensus/encoding.hpp"
 #include "control/consensus/replica.hpp"
-#include "messages/consensus.hpp"
 #include "testing/virtual_disk.hpp"
 
 namespace violetwing::consensus {
@@ -45,9 +45,10 @@
   static constexpr Micros kNow = 1'000'000;
 
   explicit Exploration(Bounds bounds) : bounds_(bounds) {
-    timing_.heartbeat = timing_.election_least = timing_.election_most = 0;
-    timing_.lease = timing_.settle = timing_.start_turn = timing_.start_for = 0;
-    timing_.append_again = 0;
+    timing_.heartbeat_interval = timing_.min_election_timeout = timing_.max_election_timeout = 0;
+    timing_.lease_duration = timing_.startup_election_delay = timing_.startup_slot_duration =
+        timing_.startup_period = 0;
+    timing_.append_retry_interval = 0;
     for (std::size_t i = 0; i < kMachines; ++i) founders_.push_back({Founder(i), "m" + std::to_string(i)});
   }
 
@@ -140,7 +141,7 @@
       const Member joins{machine.disk_id, "m"};
       if (world.machines[i].replica->IsMember(joins.id)) continue;
       Change(world, i, [&](World&, Replica& replica) { replica.AddLearner(joins, kNow); });
-      for (const Replica::Progress& one : world.machines[i].replica->Followers())
+      for (const FollowerStatus& one : world.machines[i].replica->FollowerStatuses())
         if (one.member.id == joins.id && one.caught_up && members.size() < kMachines)
           Change(world, i, [&](World&, Replica& replica) {
             Members more = members;
@@ -174,7 +175,7 @@
                         {0, write.hard, write.replaces_log, write.first, write.entries, write.snapshot});
     for (const Message& message : write.messages_after_write) Send(world, message);
     if (!write.entries.empty())
-      replica.Written(write.first + write.entries.size() - 1, write.entries.back().term);
+      replica.OnLogDurable(write.first + write.entries.size() - 1, write.entries.back().term);
   }
 
   // What was not written is gone; that a part of it was written is another order of events.
