--- a/src/control/control_core.cpp
+++ b/src/control/control_core.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "control/replication/bootstrap.hpp"
+
 namespace violetwing {
 namespace {
 
@@ -29,15 +31,15 @@
 // takes less, is waited for.
 constexpr Micros kElection = 1'500'000;
 
-// The first disks have names that all can tell from the seeds.
-consensus::Members Founders(const NodeSettings& settings, const std::string& disk) {
-  consensus::Members founders;
-  if (!IsFounder(disk)) return founders;
+// The ids of the first replicas are derived from the seeds.
+consensus::Members BootstrapVoters(const NodeSettings& settings, const consensus::ReplicaId& id) {
+  consensus::Members voters;
+  if (!IsBootstrapReplica(id)) return voters;
   for (const std::string& seed : settings.seeds) {
     const std::string address = settings.InternalAddressOf(seed);
-    founders.push_back({FounderDisk(address), address});
+    voters.push_back({BootstrapReplicaId(address), address});
   }
-  return founders;
+  return voters;
 }
 
 }  // namespace
@@ -52,7 +54,7 @@
       placer_(settings.lease_ms * 1000, {outputs_.order, outputs_.ask_report}),
       gossip_({settings.node_name, settings.zone, settings.InternalAddress(), settings.control_plane},
               PeerOutputs()),
-      shards_(stored, Founders(settings, stored.disk), incarnation_, ShardOutputs(), now),
+      shards_(stored, BootstrapVoters(settings, stored.replica_id), incarnation_, ShardOutputs(), now),
       member_policy_(consensus::MakeMemberPolicy(
           static_cast<std::size_t>(std::max(kLeastReplicas, 2 * settings.tolerated_nodes + 1)),
           settings.catch_up_ms * 1000)),
@@ -64,9 +66,9 @@
   Gossip::Outputs outputs;
   outputs.fill = [this](ExchangeRequest& request, const VersionVector* known) {
     request.source = incarnation_;
-    request.disk = shards_.disk();
+    request.disk = shards_.replica_id();
     request.known = table_.known();
-    request.joins = shards_.Joins(now_);
+    request.joins = shards_.ShardsToJoin(now_);
     if (known != nullptr) request.changed = table_.ChangedSince(*known);
   };
   outputs.exchange = outputs_.exchange;
@@ -86,7 +88,7 @@
     pulls_due_ = true;
     if (shard == 0) AnswerWatches(/*at_once=*/true);
   };
-  outputs.left = [this](const std::string& id, Phase phase) { table_.Leave(id, phase, now_); };
+  outputs.deregistered = [this](const std::string& id, Phase phase) { table_.Leave(id, phase, now_); };
   return outputs;
 }
 
@@ -129,7 +131,7 @@
 
 void ControlCore::Written(std::uint64_t token, Micros now) {
   now_ = now;
-  shards_.Written(token);
+  shards_.OnWriteDurable(token);
   Flush();
 }
 
@@ -156,22 +158,25 @@
 
 void ControlCore::Leave(const std::string& service, const std::string& id, Phase phase, const OnTaken& done) {
   if (Isolated()) return done(Taken::kUnavailable);
-  shards_.Leave(service, id, phase, now_,
-                [done](bool taken) { done(taken ? Taken::kTaken : Taken::kUnavailable); });
+  shards_.Deregister(service, id, phase, now_, [done](const Result<void>& committed) {
+    done(committed ? Taken::kTaken : Taken::kUnavailable);
+  });
   Flush();
 }
 
 void ControlCore::Change(const configuration::Change& change, Micros now, const OnChanged& done) {
   now_ = now;
   if (Isolated()) return done(std::nullopt);
-  shards_.Change(change, now, done);
+  shards_.SubmitChange(change, now, [done](const Result<configuration::Answer>& answer) {
+    done(answer ? std::optional(answer.value()) : std::nullopt);
+  });
   Flush();
 }
 
 void ControlCore::ReadConfiguration(Micros now, const OnRead& done) {
   now_ = now;
   if (Isolated()) return done(std::nullopt);
-  shards_.Read(now, [this, done](bool current) {
+  shards_.AwaitReadBarrier(now, [this, done](const Result<void>& current) {
     if (!current) return done(std::nullopt);
     done(ConfigurationRead{configuration().version(), configuration().document()});
   });
@@ -187,11 +192,11 @@
   // What an earlier incarnation of this process knew is not known here: its vector would hide the difference
   // for good.
   if (request.changed_for.empty() || request.changed_for == incarnation_) MergeInstances(request.changed);
-  shards_.Meet(request.disk, request.from.address);
+  shards_.OnPeerAddress(request.disk, request.from.address);
   shards_.SetLeaving(request.disk, request.from.leaving);
-  for (const int shard : request.joins) shards_.Join(shard, {request.disk, request.from.address}, now);
-  for (const ShardMessage& message : request.messages) shards_.Step(message, now);
-  for (const ShardProposal& proposal : request.proposals) shards_.TakeForwarded(proposal);
+  for (const int shard : request.joins) shards_.AddLearner(shard, {request.disk, request.from.address}, now);
+  for (const ShardMessage& message : request.messages) shards_.OnMessage(message, now);
+  for (const ShardProposal& proposal : request.proposals) shards_.OnForwardedProposal(proposal);
   CountDemand(request.demand);
   ExchangeReply reply;
   reply.source = incarnation_;
--- a/src/control/control_service.cpp
+++ b/src/control/control_service.cpp
@@ -15,6 +15,7 @@
 
 #include "common/steady_time.hpp"
 #include "control/api/handlers.hpp"
+#include "control/replication/bootstrap.hpp"
 
 namespace violetwing {
 namespace {
@@ -104,7 +105,7 @@
   const std::vector<std::string>& seeds = settings_.seeds;
   const bool founder =
       settings_.bootstrap && std::find(seeds.begin(), seeds.end(), settings_.control_plane) != seeds.end();
-  const std::string disk = founder ? FounderDisk(settings_.InternalAddress()) : "disk/" + RandomName();
+  const std::string disk = founder ? BootstrapReplicaId(settings_.InternalAddress()) : "disk/" + RandomName();
   return store_.Open(settings_.data_dir, disk, problem);
 }
 
--- a/src/control/replication/commands.cpp
+++ b/src/control/replication/commands.cpp
@@ -3,6 +3,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
+#include "control/storage/json_form.hpp"
 #include "messages/generated/internal.pb.h"
 #include "messages/parse.hpp"
 
@@ -11,83 +12,83 @@
 
 using nlohmann::json;
 
-// Of a log that an earlier version has written.
-bool IsJson(const std::string& bytes) { return !bytes.empty() && bytes.front() == '{'; }
-
+// Decodes a command of the older stored form by `read`, which throws json::exception for a malformed one.
 template <class Read>
 auto FromJson(const std::string& text, Read read) -> std::optional<decltype(read(json()))> {
-  const json in = json::parse(text, nullptr, /*allow_exceptions=*/false);
-  if (!in.is_object()) return std::nullopt;
+  const json object = json::parse(text, nullptr, /*allow_exceptions=*/false);
+  if (!object.is_object()) return std::nullopt;
   try {
-    return read(in);
+    return read(object);
   } catch (const json::exception&) {
     return std::nullopt;
   }
 }
 
-ConfigurationCommand ConfigurationFromJson(const json& in) {
-  if (in.value("read", false)) return ReadCommand{};
-  return configuration::Change{in.value("patch", false), in.value("base", std::int64_t{0}),
-                               in.value("body", std::string())};
+Envelope EnvelopeFromJson(const json& object) {
+  return {object.at("request").get<std::string>(), object.at("command").get<std::string>()};
+}
+
+ConfigurationCommand ConfigurationFromJson(const json& object) {
+  if (object.value("read", false)) return ReadCommand{};
+  return configuration::Change{object.value("patch", false), object.value("base", std::int64_t{0}),
+                               object.value("body", std::string())};
+}
+
+DeregistrationCommand DeregistrationFromJson(const json& object) {
+  return {object.value("id", std::string()), object.value("phase", Phase::kDraining)};
 }
 
 }  // namespace
 
 std::string Encode(const Envelope& envelope) {
-  wire::Command out;
-  out.set_request(envelope.request);
-  out.set_body(envelope.command);
-  return out.SerializeAsString();
+  wire::Command message;
+  message.set_request(envelope.request_id);
+  message.set_body(envelope.command);
+  return message.SerializeAsString();
 }
 
 std::optional<Envelope> DecodeEnvelope(const std::string& bytes) {
-  if (IsJson(bytes))
-    return FromJson(bytes, [](const json& in) {
-      return Envelope{in.at("request").get<std::string>(), in.at("command").get<std::string>()};
-    });
-  auto in = wire::Parse<wire::Command>(bytes);
-  if (!in) return std::nullopt;
-  return Envelope{std::move(*in->mutable_request()), std::move(*in->mutable_body())};
+  if (IsJsonForm(bytes)) return FromJson(bytes, EnvelopeFromJson);
+  auto message = wire::Parse<wire::Command>(bytes);
+  if (!message) return std::nullopt;
+  return Envelope{std::move(*message->mutable_request()), std::move(*message->mutable_body())};
 }
 
 std::string Encode(const ConfigurationCommand& command) {
-  wire::ConfigurationCommand out;
+  wire::ConfigurationCommand message;
   if (const auto* change = std::get_if<configuration::Change>(&command)) {
-    out.mutable_change()->set_patch(change->patch);
-    out.mutable_change()->set_base(change->base);
-    out.mutable_change()->set_body(change->body);
+    message.mutable_change()->set_patch(change->patch);
+    message.mutable_change()->set_base(change->base);
+    message.mutable_change()->set_body(change->body);
   } else {
-    out.set_read(true);
+    message.set_read(true);
   }
-  return out.SerializeAsString();
+  return message.SerializeAsString();
 }
 
 std::optional<ConfigurationCommand> DecodeConfigurationCommand(const std::string& bytes) {
-  if (IsJson(bytes)) return FromJson(bytes, ConfigurationFromJson);
-  auto in = wire::Parse<wire::ConfigurationCommand>(bytes);
-  if (!in) return std::nullopt;
-  if (in->has_read()) return ReadCommand{};
-  if (!in->has_change()) return std::nullopt;
-  wire::ConfigurationChange& change = *in->mutable_change();
+  if (IsJsonForm(bytes)) return FromJson(bytes, ConfigurationFromJson);
+  auto message = wire::Parse<wire::ConfigurationCommand>(bytes);
+  if (!message) return std::nullopt;
+  if (message->has_read()) return ReadCommand{};
+  if (!message->has_change()) return std::nullopt;
+  wire::ConfigurationChange& change = *message->mutable_change();
   return configuration::Change{change.patch(), change.base(), std::move(*change.mutable_body())};
 }
 
 std::string Encode(const DeregistrationCommand& command) {
-  wire::DepartureCommand out;
-  out.set_id(command.id);
-  out.set_phase(command.phase == Phase::kDeregistered ? wire::GONE : wire::DRAINING);
-  return out.SerializeAsString();
+  wire::DepartureCommand message;
+  message.set_id(command.server_id);
+  message.set_phase(command.phase == Phase::kDeregistered ? wire::GONE : wire::DRAINING);
+  return message.SerializeAsString();
 }
 
-std::optional<DeregistrationCommand> DecodeDepartureCommand(const std::string& bytes) {
-  if (IsJson(bytes))
-    return FromJson(bytes, [](const json& in) {
-      return DeregistrationCommand{in.value("id", std::string()), in.value("phase", Phase::kDraining)};
-    });
-  auto in = wire::Parse<wire::DepartureCommand>(bytes);
-  if (!in) return std::nullopt;
-  return DeregistrationCommand{std::move(*in->mutable_id()),
-                               in->phase() == wire::GONE ? Phase::kDeregistered : Phase::kDraining};
+std::optional<DeregistrationCommand> DecodeDeregistrationCommand(const std::string& bytes) {
+  if (IsJsonForm(bytes)) return FromJson(bytes, DeregistrationFromJson);
+  auto message = wire::Parse<wire::DepartureCommand>(bytes);
+  if (!message) return std::nullopt;
+  const Phase phase = message->phase() == wire::GONE ? Phase::kDeregistered : Phase::kDraining;
+  return DeregistrationCommand{std::move(*message->mutable_id()), phase};
 }
 
 }  // namespace violetwing
--- a/src/control/replication/commands.hpp
+++ b/src/control/replication/commands.hpp
@@ -1,6 +1,6 @@
-// What the logs of the shards hold: the envelope that names the call that a command answers, and the commands
-// of the shards' state machines. Written as protocol buffers (messages/internal.proto). Logs of earlier
-// versions held JSON, which is still read: an object's brace begins no envelope.
+// The commands in the shards' logs, and the envelope that tells which request a command belongs to. They are
+// encoded as protocol buffers (messages/internal.proto). Logs of earlier versions hold JSON, which is still
+// decoded (see control/storage/json_form.hpp).
 #ifndef VIOLETWING_CONTROL_REPLICATION_COMMANDS_HPP_
 #define VIOLETWING_CONTROL_REPLICATION_COMMANDS_HPP_
 
@@ -13,27 +13,31 @@
 
 namespace violetwing {
 
+/// A command as it is stored in a log entry.
 struct Envelope {
-  std::string request;  // names the call, over all processes and their lives
-  std::string command;  // of the state machine
+  std::string request_id;  ///< unique over all runs of all processes, or derived from an idempotent command
+  std::string command;     ///< encoded, for the shard's state machine
 };
 
-// Changes nothing: it shows that all before it has been applied.
+/// Changes nothing: once it is applied, so is every command that was committed before it (a read barrier).
 struct ReadCommand {};
+/// A command of the configuration's shard.
 using ConfigurationCommand = std::variant<ReadCommand, configuration::Change>;
 
+/// A command of a service shard: the server drains, or is deregistered.
 struct DeregistrationCommand {
-  std::string id;  // of the server
-  Phase phase = Phase::kDraining;
+  std::string server_id;
+  Phase phase = Phase::kDraining;  ///< kDraining or kDeregistered
 };
 
 std::string Encode(const Envelope& envelope);
 std::string Encode(const ConfigurationCommand& command);
 std::string Encode(const DeregistrationCommand& command);
-// Empty where the bytes are no such command.
+
+/// The decoders accept both stored forms; empty where the bytes are malformed.
 std::optional<Envelope> DecodeEnvelope(const std::string& bytes);
 std::optional<ConfigurationCommand> DecodeConfigurationCommand(const std::string& bytes);
-std::optional<DeregistrationCommand> DecodeDepartureCommand(const std::string& bytes);
+std::optional<DeregistrationCommand> DecodeDeregistrationCommand(const std::string& bytes);
 
 }  // namespace violetwing
 
--- a/src/control/replication/replicated_state_machine.cpp
+++ b/src/control/replication/replicated_state_machine.cpp
@@ -2,26 +2,30 @@
 
 #include <spdlog/spdlog.h>
 
-#include <algorithm>
+#include <optional>
 #include <utility>
 
+#include "control/control_error.hpp"
 #include "control/replication/commands.hpp"
 
 namespace violetwing {
 namespace {
 
-using consensus::EntryKind;
-
-// Entries after the snapshot from which a new one is taken.
-constexpr std::size_t kCompactAfter = 128;
-// And bytes of work: a process that starts applies the entries again before it can lead or answer, with no
-// word to the others meanwhile. Some 50 ms of a control process's share at 17 MB a second (a patch of 189 kB:
-// 11 ms).
-constexpr std::size_t kCompactAfterBytes = std::size_t{512} * 1024;
-// And bytes of commands, also of those that changed nothing: what the disk holds of the log.
-constexpr std::size_t kCompactAfterLogged = std::size_t{2} * 1024 * 1024;
-// A command that was not applied by then is offered again: the leader or the way to it may be gone.
-constexpr Micros kOfferAgain = 500'000;
+// A snapshot is due when any of the three limits is exceeded.
+// Entries in the log after the last snapshot.
+constexpr std::size_t kMaxEntriesSinceSnapshot = 128;
+// Bytes of work: a process that starts applies the entries again before it can lead or answer, and exchanges
+// no messages meanwhile. Some 50 ms of a control process's CPU share at 17 MB/s (a patch of 189 kB: 11 ms).
+constexpr std::size_t kMaxWorkSinceSnapshot = std::size_t{512} * 1024;
+// Bytes of commands, also of those without effect: the log's size on disk.
+constexpr std::size_t kMaxLogBytesSinceSnapshot = std::size_t{2} * 1024 * 1024;
+// A command that was not applied within 500 ms is sent again: the leader or the network path may have failed.
+constexpr Micros kResendInterval = 500'000;
+
+bool IsEmpty(const consensus::Effects& effects) {
+  return !effects.WritesAnything() && effects.messages.empty() && effects.messages_after_write.empty() &&
+         !effects.load && effects.committed.empty();
+}
 
 }  // namespace
 
@@ -33,154 +37,174 @@
       machine_(machine),
       outputs_(std::move(outputs)) {}
 
-void ReplicatedStateMachine::Step(const consensus::Message& message, Micros now) {
-  replica_.Step(message, now);
-  Flush();
-}
+// ---- Commands ----
 
-void ReplicatedStateMachine::Tick(Micros now) {
-  replica_.Tick(now);
-  std::vector<Done> late;
-  for (auto it = waiting_.begin(); it != waiting_.end();) {
-    TakeLate(it->second, now, late);
-    if (it->second.callers.empty()) {
-      it = waiting_.erase(it);
-      continue;
-    }
-    Offer(it->first, it->second, now);
-    ++it;
-  }
-  Flush();
-  for (const Done& done : late) done(std::nullopt);
+void ReplicatedStateMachine::Submit(const std::string& command, Micros now, Micros timeout,
+                                    SubmitCallback done) {
+  const std::string request_id = incarnation_ + "/" + std::to_string(++submit_count_);
+  SubmitIdempotent(request_id, command, now, {timeout, timeout}, std::move(done));
 }
 
-void ReplicatedStateMachine::TakeLate(Waiting& waiting, Micros now, std::vector<Done>& late) const {
-  const bool has_quorum_contact = replica_.HasQuorumContact(now);
-  std::erase_if(waiting.callers, [&](Caller& caller) {
-    if (now < (has_quorum_contact ? caller.until : caller.least_until)) return false;
-    late.push_back(std::move(caller.done));
-    return true;
-  });
+void ReplicatedStateMachine::SubmitIdempotent(const std::string& request_id, const std::string& command,
+                                              Micros now, SubmitTimeouts timeouts, SubmitCallback done) {
+  const auto [it, inserted] = pending_commands_.try_emplace(request_id);
+  PendingCommand& pending = it->second;
+  if (inserted) pending.command = Encode(Envelope{request_id, command});
+  pending.submitters.push_back({now + timeouts.minimum, now + timeouts.with_quorum_contact, std::move(done)});
+  ForwardToLeader(request_id, pending, now);
+  Flush();
 }
 
-void ReplicatedStateMachine::TakeForwarded(const std::string& command) {
+void ReplicatedStateMachine::OnForwardedProposal(const std::string& command) {
   const std::optional<Envelope> envelope = DecodeEnvelope(command);
-  if (envelope) Propose(envelope->request, command);
+  if (envelope) Propose(envelope->request_id, command);
   Flush();
 }
 
-void ReplicatedStateMachine::Propose(const std::string& request, const std::string& command) {
+void ReplicatedStateMachine::ForwardToLeader(const std::string& request_id, PendingCommand& pending,
+                                             Micros now) {
+  const bool new_term = pending.sent_term != replica_.term();
+  if (pending.sent_at > 0 && !new_term && now - pending.sent_at < kResendInterval) return;
+  if (replica_.leader()) {
+    Propose(request_id, pending.command);
+  } else if (replica_.known_leader() && !replica_.known_leader()->address.empty()) {
+    outputs_.forward(shard_, *replica_.known_leader(), pending.command);
+  } else {
+    return;
+  }
+  pending.sent_at = now;
+  pending.sent_term = replica_.term();
+}
+
+void ReplicatedStateMachine::Propose(const std::string& request_id, const std::string& command) {
   if (!replica_.leader()) return;
-  if (std::exchange(proposed_in_, replica_.term()) != replica_.term()) proposed_.clear();
-  if (proposed_.insert(request).second) replica_.Propose(command);
+  // Entries of an earlier term may have been overwritten since.
+  if (std::exchange(proposed_term_, replica_.term()) != replica_.term()) proposed_requests_.clear();
+  if (proposed_requests_.insert(request_id).second) replica_.Propose(command);
 }
 
-void ReplicatedStateMachine::Call(const std::string& command, Micros now, Micros within, Done done) {
-  SubmitIdempotent(incarnation_ + "/" + std::to_string(++calls_), command, now, {within, within},
-                   std::move(done));
+void ReplicatedStateMachine::TakeExpired(PendingCommand& pending, Micros now,
+                                         std::vector<SubmitCallback>& expired) const {
+  const bool has_quorum_contact = replica_.HasQuorumContact(now);
+  std::erase_if(pending.submitters, [&](Submitter& submitter) {
+    const Micros deadline =
+        has_quorum_contact ? submitter.quorum_contact_deadline : submitter.minimum_deadline;
+    if (now < deadline) return false;
+    expired.push_back(std::move(submitter.done));
+    return true;
+  });
 }
 
-void ReplicatedStateMachine::SubmitIdempotent(const std::string& name, const std::string& command, Micros now,
-                                              SubmitTimeouts timeouts, Done done) {
-  const auto [it, fresh] = waiting_.try_emplace(name);
-  Waiting& waiting = it->second;
-  if (fresh) waiting.command = Encode(Envelope{name, command});
-  waiting.callers.push_back({now + timeouts.least, now + timeouts.has_quorum_contact, std::move(done)});
-  Offer(name, waiting, now);
+// ---- Events ----
+
+void ReplicatedStateMachine::OnMessage(const consensus::Message& message, Micros now) {
+  replica_.Step(message, now);
   Flush();
 }
 
-void ReplicatedStateMachine::Offer(const std::string& request, Waiting& waiting, Micros now) {
-  const bool new_term = waiting.sent_in != replica_.term();
-  if (waiting.sent_at > 0 && !new_term && now - waiting.sent_at < kOfferAgain) return;
-  if (replica_.leader()) {
-    Propose(request, waiting.command);
-  } else if (replica_.known_leader() && !replica_.known_leader()->address.empty()) {
-    outputs_.forward(shard_, *replica_.known_leader(), waiting.command);
-  } else {
-    return;
+void ReplicatedStateMachine::Tick(Micros now) {
+  replica_.Tick(now);
+  std::vector<SubmitCallback> expired;
+  for (auto it = pending_commands_.begin(); it != pending_commands_.end();) {
+    TakeExpired(it->second, now, expired);
+    if (it->second.submitters.empty()) {
+      it = pending_commands_.erase(it);
+      continue;
+    }
+    ForwardToLeader(it->first, it->second, now);
+    ++it;
   }
-  waiting.sent_at = now;
-  waiting.sent_in = replica_.term();
+  Flush();
+  for (const SubmitCallback& done : expired) done(ControlErrc::kCommitStatusUnknown);
 }
 
-void ReplicatedStateMachine::Send(const std::vector<consensus::Message>& messages) {
-  for (const consensus::Message& message : messages) outputs_.send(shard_, message);
+void ReplicatedStateMachine::OnWriteDurable(std::uint64_t token) {
+  const auto it = pending_writes_.find(token);
+  if (it == pending_writes_.end()) return;
+  const PendingWrite pending = std::move(it->second);
+  pending_writes_.erase(it);
+  Send(pending.messages);
+  if (pending.last_index > 0) replica_.Written(pending.last_index, pending.last_term);
+  Flush();
 }
 
-void ReplicatedStateMachine::Apply(const consensus::Entry& entry) {
-  if (entry.kind != EntryKind::kCommand) return;
-  logged_since_snapshot_ += entry.command.size();
-  const std::optional<Envelope> envelope = DecodeEnvelope(entry.command);
-  if (!envelope) return;
-  const std::string result = machine_.Apply(envelope->command);
-  proposed_.erase(envelope->request);
-  const auto it = waiting_.find(envelope->request);
-  if (it == waiting_.end()) return;
-  const std::vector<Caller> callers = std::move(it->second.callers);
-  waiting_.erase(it);
-  for (const Caller& caller : callers) caller.done(result);
-}
+// ---- Effects of the replica ----
 
 void ReplicatedStateMachine::Flush() {
-  if (std::exchange(flushing_, true)) return;  // a caller's answer may lead to the next call
+  if (std::exchange(flushing_, true)) return;  // a submitter's callback may submit the next command
   bool applied = false;
   while (true) {
     consensus::Effects effects = replica_.TakeEffects();
-    const bool nothing = !effects.WritesAnything() && effects.messages.empty() &&
-                         effects.messages_after_write.empty() && !effects.load && effects.committed.empty();
-    if (nothing) break;
-    if (effects.WritesAnything() || (!effects.messages_after_write.empty() && outputs_.writes_wait())) {
-      ShardWrite write{shard_,        effects.hard,    effects.replaces_log,
-                       effects.first, effects.entries, effects.snapshot};
-      Unwritten unwritten;
-      if (effects.first > 0 && !effects.entries.empty()) {
-        unwritten.last = effects.first + effects.entries.size() - 1;
-        unwritten.term = effects.entries.back().term;
-      }
-      unwritten.messages = std::move(effects.messages_after_write);
-      const std::uint64_t token = outputs_.next_token();
-      unwritten_.emplace(token, std::move(unwritten));
-      outputs_.write(std::move(write), token);
-    } else {
-      Send(effects.messages_after_write);
-    }
+    if (IsEmpty(effects)) break;
+    Persist(effects);
     Send(effects.messages);
     if (effects.load) machine_.Load(effects.load->state);
     for (const auto& [index, entry] : effects.committed) Apply(entry);
     applied = applied || effects.load || !effects.committed.empty();
-    if (CompactionDue()) {
-      replica_.Compact(machine_.Save());
-      worked_at_snapshot_ = machine_.worked();
-      logged_since_snapshot_ = 0;
-    }
+    CompactIfDue();
   }
   flushing_ = false;
-  LogLeadership();
+  LogLeadershipChange();
   if (applied) outputs_.applied(shard_);
 }
 
-bool ReplicatedStateMachine::CompactionDue() const {
-  return replica_.entries() > kCompactAfter || machine_.worked() - worked_at_snapshot_ > kCompactAfterBytes ||
-         logged_since_snapshot_ > kCompactAfterLogged;
+void ReplicatedStateMachine::Persist(consensus::Effects& effects) {
+  // Without a write of their own, messages still follow the earlier writes that they rely on.
+  const bool follows_writes = !effects.messages_after_write.empty() && outputs_.has_pending_writes();
+  if (!effects.WritesAnything() && !follows_writes) {
+    Send(effects.messages_after_write);
+    return;
+  }
+  ShardWrite write{shard_,        effects.hard,    effects.replaces_log,
+                   effects.first, effects.entries, effects.snapshot};
+  PendingWrite pending;
+  if (effects.first > 0 && !effects.entries.empty()) {
+    pending.last_index = effects.first + effects.entries.size() - 1;
+    pending.last_term = effects.entries.back().term;
+  }
+  pending.messages = std::move(effects.messages_after_write);
+  const std::uint64_t token = outputs_.next_write_token();
+  pending_writes_.emplace(token, std::move(pending));
+  outputs_.write(std::move(write), token);
+}
+
+void ReplicatedStateMachine::Send(const std::vector<consensus::Message>& messages) {
+  for (const consensus::Message& message : messages) outputs_.send(shard_, message);
 }
 
-void ReplicatedStateMachine::LogLeadership() {
-  if (led_ == replica_.leader()) return;
-  led_ = replica_.leader();
-  spdlog::info("shard {}: this process {} in term {}", shard_, led_ ? "leads" : "leads no more",
-               replica_.term());
+void ReplicatedStateMachine::Apply(const consensus::Entry& entry) {
+  if (entry.kind != consensus::EntryKind::kCommand) return;
+  log_bytes_since_snapshot_ += entry.command.size();
+  const std::optional<Envelope> envelope = DecodeEnvelope(entry.command);
+  if (!envelope) return;
+  const std::string answer = machine_.Apply(envelope->command);
+  proposed_requests_.erase(envelope->request_id);
+  const auto it = pending_commands_.find(envelope->request_id);
+  if (it == pending_commands_.end()) return;
+  // Taken out first: a callback may submit the same request again.
+  const std::vector<Submitter> submitters = std::move(it->second.submitters);
+  pending_commands_.erase(it);
+  for (const Submitter& submitter : submitters) submitter.done(answer);
 }
 
-bool ReplicatedStateMachine::Written(std::uint64_t token) {
-  const auto it = unwritten_.find(token);
-  if (it == unwritten_.end()) return false;
-  const Unwritten unwritten = std::move(it->second);
-  unwritten_.erase(it);
-  Send(unwritten.messages);
-  if (unwritten.last > 0) replica_.Written(unwritten.last, unwritten.term);
-  Flush();
-  return true;
+void ReplicatedStateMachine::CompactIfDue() {
+  if (!IsCompactionDue()) return;
+  replica_.Compact(machine_.Save());
+  worked_at_snapshot_ = machine_.worked();
+  log_bytes_since_snapshot_ = 0;
+}
+
+bool ReplicatedStateMachine::IsCompactionDue() const {
+  return replica_.entries() > kMaxEntriesSinceSnapshot ||
+         machine_.worked() - worked_at_snapshot_ > kMaxWorkSinceSnapshot ||
+         log_bytes_since_snapshot_ > kMaxLogBytesSinceSnapshot;
+}
+
+void ReplicatedStateMachine::LogLeadershipChange() {
+  if (logged_as_leader_ == replica_.leader()) return;
+  logged_as_leader_ = replica_.leader();
+  spdlog::info("{} shard={} term={}", logged_as_leader_ ? "leader elected" : "leadership lost", shard_,
+               replica_.term());
 }
 
 }  // namespace violetwing
--- a/src/control/replication/replicated_state_machine.hpp
+++ b/src/control/replication/replicated_state_machine.hpp
@@ -1,118 +1,131 @@
-// One shard in a control process: its replica, the state machine that the log drives, and the callers that
-// wait for their commands to be applied here.
+// One shard in a control process: its replica, the state machine that the committed log drives, and the
+// callers whose commands are pending. A core: it holds no clock, socket, file or thread.
 #ifndef VIOLETWING_CONTROL_REPLICATION_REPLICATED_STATE_MACHINE_HPP_
 #define VIOLETWING_CONTROL_REPLICATION_REPLICATED_STATE_MACHINE_HPP_
 
+#include <cstdint>
 #include <functional>
 #include <map>
-#include <optional>
 #include <set>
 #include <string>
 #include <vector>
 
+#include "common/result.hpp"
 #include "common/time.hpp"
 #include "control/consensus/replica.hpp"
-#include "control/storage/store.hpp"
+#include "control/replication/state_machine.hpp"
+#include "control/storage/shard_write.hpp"
 
 namespace violetwing {
 
-// What the entries of a shard's log are applied to, in their order and on every replica alike.
-class StateMachine {
- public:
-  virtual ~StateMachine() = default;
-  virtual std::string Apply(const std::string& command) = 0;  // the answer to the caller
-  virtual std::string Save() const = 0;
-  virtual void Load(const std::string& saved) = 0;
-  // Bytes that commands have made it read and write since it was made: what it costs to apply them again.
-  virtual std::size_t worked() const { return 0; }
-};
-
+/// Host of a consensus replica and its state machine. Not thread-safe: all calls come from one event loop,
+/// and callbacks and outputs are invoked from within them. Times are of the process's steady clock.
 class ReplicatedStateMachine {
  public:
-  // Empty: nothing is known of the command by then, and it may yet be applied.
-  using Done = std::function<void(const std::optional<std::string>& result)>;
+  /// Receives the state machine's answer, or ControlErrc::kCommitStatusUnknown. Called once.
+  using SubmitCallback = std::function<void(const Result<std::string>& answer)>;
+
+  /// What the host carries out for this shard.
   struct Outputs {
+    /// Sends a consensus message to the replica that it names.
     std::function<void(int shard, const consensus::Message&)> send;
+    /// Sends a command in its envelope to the shard's leader, for OnForwardedProposal there.
     std::function<void(int shard, const consensus::Member& leader, const std::string& command)> forward;
+    /// Makes the write durable and then calls OnWriteDurable with the token.
     std::function<void(ShardWrite, std::uint64_t token)> write;
-    std::function<bool()> writes_wait;  // whether the disk still owes earlier writes
-    std::function<std::uint64_t()> next_token;
+    /// Whether writes of any shard are not durable yet.
+    std::function<bool()> has_pending_writes;
+    /// A token that is unique within the process.
+    std::function<std::uint64_t()> next_write_token;
+    /// Called after the state machine has applied commands or loaded a snapshot.
     std::function<void(int shard)> applied;
   };
 
-  // `incarnation` names one incarnation of this process, unlike any other's: it tells this one's commands
-  // from those that an earlier one left in the log.
+  /// How long a submitter waits for its answer.
+  struct SubmitTimeouts {
+    Micros minimum = 0;              ///< while this replica has no contact with a quorum
+    Micros with_quorum_contact = 0;  ///< while it has; not below `minimum`
+  };
+
+  /// `incarnation` identifies one run of this process among all runs of all processes: it tells the requests
+  /// of this run from those that an earlier one has left in the log. `machine` outlives this object.
   ReplicatedStateMachine(int shard, std::string incarnation, consensus::Replica replica,
                          StateMachine& machine, Outputs outputs);
 
-  // Loads what was stored.
+  /// Loads what the replica has read from disk. To be called once, before all others.
   void Start() { Flush(); }
-  void Step(const consensus::Message& message, Micros now);
+  /// Handles a consensus message of a peer.
+  void OnMessage(const consensus::Message& message, Micros now);
+  /// Advances timers: elections, heartbeats, retries and timeouts of pending commands.
   void Tick(Micros now);
-  // A command that another process sent here as the leader.
-  void TakeForwarded(const std::string& command);
-  // The command's answer once it is committed and applied here. It may be applied more than once.
-  void Call(const std::string& command, Micros now, Micros within, Done done);
-  // How long a caller waits: in any case, and as long as this replica is in touch with a quorum.
-  struct SubmitTimeouts {
-    Micros least = 0;
-    Micros has_quorum_contact = 0;
-  };
-  // The same for a command whose answer does not depend on who calls: `name` is the command's own. Calls of
-  // the same name that are under way at any process are one command in the log, and share its answer.
-  void SubmitIdempotent(const std::string& name, const std::string& command, Micros now,
-                        SubmitTimeouts timeouts, Done done);
-  // The write of this token is on disk. False if it is not this group's.
-  bool Written(std::uint64_t token);
+  /// Proposes a command, in its envelope, that another process has forwarded. Ignored unless this replica
+  /// leads: the other process forwards it again.
+  void OnForwardedProposal(const std::string& command);
+  /// The write of this token is durable. Ignored if the token is unknown.
+  void OnWriteDurable(std::uint64_t token);
+
+  /// Submits a command; `done` gets the answer once it is committed and applied here. Retries may apply it
+  /// more than once.
+  void Submit(const std::string& command, Micros now, Micros timeout, SubmitCallback done);
+  /// The same for an idempotent command, whose answer does not depend on the submitter. `request_id` is
+  /// derived from the command: concurrent requests of one id, at any process, share one log entry and its
+  /// answer.
+  void SubmitIdempotent(const std::string& request_id, const std::string& command, Micros now,
+                        SubmitTimeouts timeouts, SubmitCallback done);
 
   int shard() const { return shard_; }
   const consensus::Replica& replica() const { return replica_; }
   consensus::Replica& replica() { return replica_; }
 
  private:
-  struct Caller {
-    Micros least_until = 0;
-    Micros until = 0;
-    Done done;
+  struct Submitter {
+    Micros minimum_deadline = 0;
+    Micros quorum_contact_deadline = 0;
+    SubmitCallback done;
   };
-  // A command that is not applied yet, and who waits for it.
-  struct Waiting {
-    std::string command;  // in its envelope
-    Micros sent_at = 0;   // 0: not yet
-    consensus::Term sent_in = 0;
-    std::vector<Caller> callers;
+  // A command that is not applied here yet.
+  struct PendingCommand {
+    std::string command;            // in its envelope
+    Micros sent_at = 0;             // 0: neither proposed nor forwarded yet
+    consensus::Term sent_term = 0;  // the term of this replica at that time
+    std::vector<Submitter> submitters;
   };
-  // What waits for the disk.
-  struct Unwritten {
-    consensus::Index last = 0;
-    consensus::Term term = 0;
-    std::vector<consensus::Message> messages;
+  // What is due once a write is durable.
+  struct PendingWrite {
+    consensus::Index last_index = 0;  // of the entries; 0: none
+    consensus::Term last_term = 0;
+    std::vector<consensus::Message> messages;  // they acknowledge or promise what is written
   };
 
+  // Carries out the replica's effects until there are none.
   void Flush();
-  void LogLeadership();
-  bool CompactionDue() const;
+  void Persist(consensus::Effects& effects);
   void Send(const std::vector<consensus::Message>& messages);
   void Apply(const consensus::Entry& entry);
-  // As the leader; nothing if the same call's command is in the log already, not yet applied.
-  void Propose(const std::string& request, const std::string& command);
-  void Offer(const std::string& request, Waiting& waiting, Micros now);
-  void TakeLate(Waiting& waiting, Micros now, std::vector<Done>& late) const;
+  void CompactIfDue();
+  bool IsCompactionDue() const;
+  void LogLeadershipChange();
+  // Appends to the log as the leader, unless an entry of the same request is in it and not applied yet.
+  void Propose(const std::string& request_id, const std::string& command);
+  // Proposes the command here or forwards it to the leader; again after an interval or a change of term.
+  void ForwardToLeader(const std::string& request_id, PendingCommand& pending, Micros now);
+  // Moves the callbacks whose deadline has passed out of `pending`.
+  void TakeExpired(PendingCommand& pending, Micros now, std::vector<SubmitCallback>& expired) const;
 
   const int shard_;
   const std::string incarnation_;
   consensus::Replica replica_;
   StateMachine& machine_;
   Outputs outputs_;
-  std::map<std::string, Waiting> waiting_;  // by the name of the call
-  std::set<std::string> proposed_;  // calls whose commands this leader has in its log, not yet applied
-  consensus::Term proposed_in_ = 0;
-  std::map<std::uint64_t, Unwritten> unwritten_;
-  std::uint64_t calls_ = 0;
-  std::size_t worked_at_snapshot_ = 0;
-  std::size_t logged_since_snapshot_ = 0;  // bytes of commands that were applied since
+  std::map<std::string, PendingCommand> pending_commands_;  // by request id
+  std::set<std::string> proposed_requests_;               // ids in this leader's log that are not applied yet
+  consensus::Term proposed_term_ = 0;                     // the term that proposed_requests_ belongs to
+  std::map<std::uint64_t, PendingWrite> pending_writes_;  // by token
+  std::uint64_t submit_count_ = 0;
+  std::size_t worked_at_snapshot_ = 0;        // machine_.worked() then
+  std::size_t log_bytes_since_snapshot_ = 0;  // of the commands that were applied since
   bool flushing_ = false;
-  bool led_ = false;  // as last logged
+  bool logged_as_leader_ = false;
 };
 
 }  // namespace violetwing
--- /dev/null
+++ b/src/control/replication/shard_state_machines.hpp
@@ -0,0 +1,54 @@
+// The state machines behind the shards' logs: the configuration, and the deregistrations of servers.
+#ifndef VIOLETWING_CONTROL_REPLICATION_SHARD_STATE_MACHINES_HPP_
+#define VIOLETWING_CONTROL_REPLICATION_SHARD_STATE_MACHINES_HPP_
+
+#include <functional>
+#include <string>
+
+#include "control/configuration/state.hpp"
+#include "control/instances/departures.hpp"
+#include "control/replication/state_machine.hpp"
+
+namespace violetwing {
+
+/// Applies ConfigurationCommand: a change by the operator, or a read, which changes nothing.
+class ConfigurationStateMachine : public StateMachine {
+ public:
+  /// `state` outlives this object.
+  explicit ConfigurationStateMachine(configuration::State& state) : state_(state) {}
+
+  /// The answer to a change is for DecodeAnswer; that to a read or to an unreadable command is empty.
+  std::string Apply(const std::string& command) override;
+  std::string Save() const override { return state_.Save(); }
+  void Load(const std::string& saved) override { state_.Load(saved); }
+  std::size_t worked() const override { return state_.worked(); }
+
+  /// Reads what Apply has answered to a change.
+  static configuration::Answer DecodeAnswer(const std::string& answer);
+
+ private:
+  configuration::State& state_;
+};
+
+/// Applies DeregistrationCommand: a server drains or is deregistered. Its answers are empty.
+class DeregistrationStateMachine : public StateMachine {
+ public:
+  using OnDeregistered = std::function<void(const std::string& server_id, Phase phase)>;
+
+  /// Both outlive this object. `on_deregistered` is called for each command, and for each server of a
+  /// snapshot that is loaded.
+  DeregistrationStateMachine(Deregistrations& state, const OnDeregistered& on_deregistered)
+      : state_(state), on_deregistered_(on_deregistered) {}
+
+  std::string Apply(const std::string& command) override;
+  std::string Save() const override { return state_.Save(); }
+  void Load(const std::string& saved) override;
+
+ private:
+  Deregistrations& state_;
+  const OnDeregistered& on_deregistered_;
+};
+
+}  // namespace violetwing
+
+#endif  // VIOLETWING_CONTROL_REPLICATION_SHARD_STATE_MACHINES_HPP_
--- a/src/control/replication/shards.hpp
+++ b/src/control/replication/shards.hpp
@@ -1,5 +1,5 @@
-// The shards of a control process: their replicas, and the state that their logs drive. The first holds the
-// configuration; the others hold the servers that have left, by a hash of the service's name. A core: it
+// The shards of a control process: their replicas, and the state that their logs drive. The first shard holds
+// the configuration; the others hold deregistrations of servers, by a hash of the service's name. A core: it
 // holds no clock, socket, file or thread.
 #ifndef VIOLETWING_CONTROL_REPLICATION_SHARDS_HPP_
 #define VIOLETWING_CONTROL_REPLICATION_SHARDS_HPP_
@@ -12,88 +12,109 @@
 #include <string>
 #include <vector>
 
+#include "common/result.hpp"
 #include "common/time.hpp"
 #include "control/configuration/state.hpp"
 #include "control/consensus/membership.hpp"
 #include "control/instances/departures.hpp"
 #include "control/replication/replicated_state_machine.hpp"
+#include "control/replication/state_machine.hpp"
+#include "control/storage/shard_write.hpp"
 #include "messages/peer.hpp"
 
 namespace violetwing {
 
-// The name of the first disk of the process at this internal address. Every later disk draws its own.
-std::string FounderDisk(const std::string& address);
-bool IsFounder(const std::string& disk);
-
+/// All shards of one process. Not thread-safe: one event loop drives it. Neither copied nor moved, as its
+/// parts refer to each other.
 class Shards {
  public:
+  /// What the host carries out. `address` is the internal address (host:port) of a control process.
   struct Outputs {
     std::function<void(const std::string& address, ShardMessage)> send;
     std::function<void(const std::string& address, ShardProposal)> propose;
+    /// Makes the write durable and then calls OnWriteDurable with the token.
     std::function<void(ShardWrite, std::uint64_t token)> write;
+    /// The state of the shard has changed.
     std::function<void(int shard)> applied;
-    std::function<void(const std::string& id, Phase phase)> left;  // a server has said that it leaves
+    /// A server drains or is deregistered, by a committed command.
+    std::function<void(const std::string& server_id, Phase phase)> deregistered;
   };
-  // What a disk held as the process started.
+
+  /// What the store held when the process started.
   struct Stored {
-    std::string disk;  // its id
+    consensus::ReplicaId replica_id;
     std::map<int, consensus::StoredState> shards;
   };
 
-  // `incarnation` differs between the incarnations of all processes; it seeds what is drawn.
-  Shards(Stored stored, const consensus::Members& founders, const std::string& incarnation, Outputs outputs,
-         Micros now);
+  using ChangeCallback = std::function<void(const Result<configuration::Answer>&)>;
+  using DoneCallback = std::function<void(const Result<void>&)>;
+
+  /// `bootstrap_voters` form the first membership of each shard; empty where the disk is not one of them.
+  /// `incarnation` identifies this run of the process among all runs of all processes, and seeds the random
+  /// election timeouts.
+  Shards(Stored stored, const consensus::Members& bootstrap_voters, const std::string& incarnation,
+         Outputs outputs, Micros now);
+  Shards(const Shards&) = delete;
+  Shards& operator=(const Shards&) = delete;
 
+  /// Advances the timers of all shards.
   void Tick(Micros now);
-  void Written(std::uint64_t token);
-  void Step(const ShardMessage& message, Micros now);
-  void TakeForwarded(const ShardProposal& proposal);
-  // A disk that has no vote in the shard asks for one.
-  void Join(int shard, const consensus::Member& learner, Micros now);
-  // Where the process with this disk takes internal calls, by its own word.
-  void Meet(const std::string& disk, const std::string& address) { addresses_[disk] = address; }
-  // Changes the groups that this process leads where that is due; returns the addresses of all members.
+  /// The write of this token is durable.
+  void OnWriteDurable(std::uint64_t token);
+  /// Handles a consensus message of a peer; ignored for an unknown shard.
+  void OnMessage(const ShardMessage& message, Micros now);
+  /// Handles a command that a peer has forwarded to this process as the leader.
+  void OnForwardedProposal(const ShardProposal& proposal);
+
+  /// The process of this replica id reports its internal address. It goes before the address in the
+  /// membership.
+  void OnPeerAddress(const consensus::ReplicaId& id, const std::string& address) { addresses_[id] = address; }
+  /// Adds a replica without a vote; once it has caught up it may become a voter.
+  void AddLearner(int shard, const consensus::Member& learner, Micros now);
+  /// Whether the process of this replica id has announced its shutdown.
+  void SetLeaving(const consensus::ReplicaId& id, bool leaving);
+  /// Proposes membership changes that are due in the shards that this process leads. Returns the addresses of
+  /// all members of all shards; some may occur more than once.
   std::vector<std::string> ReviewMembers(const consensus::MemberPolicy& policy, Micros now);
-  // The process with this disk is about to end, by its own word, or is not any more.
-  void SetLeaving(const std::string& disk, bool leaving);
-  // Shards in which this disk has no vote, or does not hear whether it has one.
-  std::vector<int> Joins(Micros now) const;
+  /// Shards in which this replica is not a voter, or cannot learn whether it is.
+  std::vector<int> ShardsToJoin(Micros now) const;
 
-  // Each is called with nothing if no quorum has answered in time; what was asked may yet be done.
-  void Change(const configuration::Change& change, Micros now,
-              std::function<void(const std::optional<configuration::Answer>&)> done);
-  // Waits until all changes that were acknowledged before are applied here.
-  void Read(Micros now, std::function<void(bool current)> done);
-  void Leave(const std::string& service, const std::string& id, Phase phase, Micros now,
-             std::function<void(bool taken)> done);
+  /// Commits a configuration change (PROTOCOL.md, the operator's API). Changes that are equal are one command
+  /// while they are pending. Error: kCommitStatusUnknown.
+  void SubmitChange(const configuration::Change& change, Micros now, const ChangeCallback& done);
+  /// Linearizable read barrier: succeeds once every change acknowledged before is applied here. Error:
+  /// kCommitStatusUnknown.
+  void AwaitReadBarrier(Micros now, const DoneCallback& done);
+  /// Commits that a server drains or is deregistered. Error: kCommitStatusUnknown.
+  void Deregister(const std::string& service, const std::string& server_id, Phase phase, Micros now,
+                  const DoneCallback& done);
 
-  std::optional<Phase> Deregistered(const std::string& id) const;
+  /// kDraining or kDeregistered as applied here; empty if the server has done neither.
+  std::optional<Phase> Deregistered(const std::string& server_id) const;
   const configuration::State& configuration() const { return configuration_; }
-  // The replica whose leader places models.
-  const consensus::Replica& configuration_replica() const { return groups_.front()->replica(); }
-  // Internal address of the process that leads the configuration's shard; empty if that is not known.
+  /// The replica of the configuration's shard; its leader is also the placer.
+  const consensus::Replica& configuration_replica() const { return shards_.front()->replica(); }
+  /// Internal address of the configuration shard's leader; empty if unknown.
   std::string ConfigurationLeader() const;
-  const std::string& disk() const { return disk_; }
+  /// This process's replica id, the same in all shards.
+  const consensus::ReplicaId& replica_id() const { return replica_id_; }
 
  private:
-  class ConfigurationMachine;
-  class DeregistrationsMachine;
-
-  void MakeReplica(int shard, const std::string& incarnation, StateMachine& machine,
-                   consensus::Replica replica);
+  void AddShard(int shard, const std::string& incarnation, StateMachine& machine, consensus::Replica replica);
+  ReplicatedStateMachine::Outputs ShardOutputs();
   ReplicatedStateMachine* Find(int shard) const;  // null if there is none
-  ReplicatedStateMachine& OfService(const std::string& service) const;
+  ReplicatedStateMachine& ShardOfService(const std::string& service) const;
   std::string AddressOf(int shard, const consensus::ReplicaId& id) const;
 
-  const std::string disk_;
+  const consensus::ReplicaId replica_id_;
   const Outputs outputs_;
   configuration::State configuration_;
-  std::vector<Deregistrations> deregistrations_;  // by shard, the first unused
+  std::vector<Deregistrations> deregistrations_;  // by shard; the first is unused
   std::vector<std::unique_ptr<StateMachine>> machines_;
-  std::vector<std::unique_ptr<ReplicatedStateMachine>> groups_;
+  std::vector<std::unique_ptr<ReplicatedStateMachine>> shards_;
   std::map<consensus::ReplicaId, std::string> addresses_;
-  std::uint64_t token_ = 0;                                  // of the last write
-  std::map<std::uint64_t, ReplicatedStateMachine*> writes_;  // that the disk owes
+  std::uint64_t last_write_token_ = 0;
+  std::map<std::uint64_t, ReplicatedStateMachine*> pending_writes_;  // by token
 };
 
 }  // namespace violetwing
--- a/src/control/storage/store.hpp
+++ b/src/control/storage/store.hpp
@@ -19,19 +19,10 @@
 #include <vector>
 
 #include "control/consensus/replica.hpp"
+#include "control/storage/shard_write.hpp"
 
 namespace violetwing {
 
-// What one shard's replica wants written, in the order of its fields.
-struct ShardWrite {
-  int shard = 0;
-  std::optional<consensus::HardState> hard;
-  bool replaces_log = false;
-  consensus::Index first = 0;  // 0: no entries
-  std::vector<consensus::Entry> entries;
-  std::optional<consensus::Snapshot> snapshot;
-};
-
 class Store {
  public:
   // Reads or makes the file. `founder` is the id that a disk made now gets; it stays with the disk. Opening
--- a/tests/control/replication/commands_test.cpp
+++ b/tests/control/replication/commands_test.cpp
@@ -1,4 +1,4 @@
-// Commands of the logs, as they are written now and as earlier versions wrote them.
+// Encoding of the commands in the logs, and decoding of the present and the older stored form.
 #include "control/replication/commands.hpp"
 
 #include <catch2/catch.hpp>
@@ -10,10 +10,10 @@
 
 }  // namespace
 
-TEST_CASE("Commands keep all fields through the log, also bytes that are no text") {
+TEST_CASE("Decoding an encoded command restores all fields, also with binary bodies") {
   const std::string bytes("{\"a\":\"\\\"\"}\xff\x00", 12);
   const Envelope envelope = DecodeEnvelope(Encode(Envelope{"change/1", bytes})).value();
-  CHECK(envelope.request == "change/1");
+  CHECK(envelope.request_id == "change/1");
   CHECK(envelope.command == bytes);
   const auto command = DecodeConfigurationCommand(Encode(ConfigurationCommand(Change{true, 7, bytes})));
   const Change change = std::get<Change>(command.value());
@@ -23,24 +23,25 @@
   const auto read = DecodeConfigurationCommand(Encode(ConfigurationCommand(ReadCommand{})));
   CHECK(std::holds_alternative<ReadCommand>(read.value()));
   for (const Phase phase : {Phase::kDraining, Phase::kDeregistered})
-    CHECK(DecodeDepartureCommand(Encode(DeregistrationCommand{"i-1", phase}))->phase == phase);
+    CHECK(DecodeDeregistrationCommand(Encode(DeregistrationCommand{"i-1", phase}))->phase == phase);
 }
 
-TEST_CASE("Commands that earlier versions wrote in JSON are read") {
+TEST_CASE("Commands of the older JSON form are decoded") {
   const Envelope envelope = DecodeEnvelope(R"({"request":"a/1","command":"{\"read\":true}"})").value();
-  CHECK(envelope.request == "a/1");
+  CHECK(envelope.request_id == "a/1");
   CHECK(std::holds_alternative<ReadCommand>(DecodeConfigurationCommand(envelope.command).value()));
   const auto command = DecodeConfigurationCommand(R"({"patch":false,"base":3,"body":"{}"})");
   CHECK(std::get<Change>(command.value()).base == 3);
-  const DeregistrationCommand departure = DecodeDepartureCommand(R"({"id":"i-1","phase":"gone"})").value();
-  CHECK(departure.id == "i-1");
-  CHECK(departure.phase == Phase::kDeregistered);
+  const DeregistrationCommand deregistration =
+      DecodeDeregistrationCommand(R"({"id":"i-1","phase":"gone"})").value();
+  CHECK(deregistration.server_id == "i-1");
+  CHECK(deregistration.phase == Phase::kDeregistered);
 }
 
-TEST_CASE("What is no command is refused") {
+TEST_CASE("Malformed commands are rejected") {
   for (const char* text : {"", "{", "{}", "[]", "\xff\xff", "\x0a"}) CHECK_FALSE(DecodeEnvelope(text));
   for (const char* text : {"", "{", "\xff\xff"}) CHECK_FALSE(DecodeConfigurationCommand(text));
-  for (const char* text : {"", "{", "\xff\xff"}) CHECK_FALSE(DecodeDepartureCommand(text));
+  for (const char* text : {"", "{", "\xff\xff"}) CHECK_FALSE(DecodeDeregistrationCommand(text));
 }
 
 }  // namespace violetwing
--- a/tests/control/replication/replicated_state_machine_test.cpp
+++ b/tests/control/replication/replicated_state_machine_test.cpp
@@ -1,4 +1,4 @@
-// One shard in a process: who is told what became of a command.
+// One shard in a process: which submitters get the answer to a command.
 #include "control/replication/replicated_state_machine.hpp"
 
 #include <catch2/catch.hpp>
@@ -6,13 +6,14 @@
 #include <string>
 #include <vector>
 
+#include "control/control_error.hpp"
 #include "control/replication/commands.hpp"
 #include "testing/virtual_disk.hpp"
 
 namespace violetwing {
 namespace {
 
-// Answers each command with itself.
+// Answers each command with the command itself.
 class EchoMachine : public StateMachine {
  public:
   std::string Apply(const std::string& command) override { return command; }
@@ -20,43 +21,45 @@
   void Load(const std::string&) override {}
 };
 
-// A process with the one replica of a shard. Its clock begins anew with each incarnation, as after a loss of
-// power.
+// A process with the one replica of a shard. Its clock restarts with each incarnation, as after a loss
+// of power.
 class Process {
  public:
   Process(std::string incarnation, consensus::StoredState& disk)
-      : disk_(disk), group_(1, std::move(incarnation), MakeReplica(disk), machine_, Outputs()) {
-    group_.Start();
+      : disk_(disk), shard_(1, std::move(incarnation), MakeReplica(disk), machine_, Outputs()) {
+    shard_.Start();
   }
 
-  void Call(const std::string& command, std::optional<std::string>& answer) {
-    group_.Call(command, kNow, 1'000'000, [&answer](const std::optional<std::string>& got) { answer = got; });
+  void Submit(const std::string& command, std::optional<Result<std::string>>& answer) {
+    shard_.Submit(command, kNow, kTimeout, [&answer](const Result<std::string>& got) { answer = got; });
   }
-  void SubmitIdempotent(const std::string& name, const std::string& command,
+  void SubmitIdempotent(const std::string& request_id, const std::string& command,
                         std::vector<std::string>& answers) {
-    group_.SubmitIdempotent(
-        name, command, kNow, {1'000'000, 1'000'000},
-        [&answers](const std::optional<std::string>& got) { answers.push_back(got.value_or("")); });
+    shard_.SubmitIdempotent(
+        request_id, command, kNow, {kTimeout, kTimeout},
+        [&answers](const Result<std::string>& got) { answers.push_back(got ? got.value() : ""); });
   }
-  // A command from a process that took the same call.
-  void Forward(const std::string& name, const std::string& command) {
-    group_.TakeForwarded(Encode(Envelope{name, command}));
+  // The same request, forwarded by another process that has received it.
+  void Forward(const std::string& request_id, const std::string& command) {
+    shard_.OnForwardedProposal(Encode(Envelope{request_id, command}));
   }
-  std::size_t logged() const { return group_.replica().last(); }
+  std::size_t log_size() const { return shard_.replica().last(); }
   void Elect() {
-    for (Micros at = kNow; !group_.replica().leader(); at += 50'000) group_.Tick(at);
+    for (Micros at = kNow; !shard_.replica().leader(); at += 50'000) shard_.Tick(at);
   }
+  void Expire() { shard_.Tick(kNow + kTimeout); }
   void WriteAll() {
     while (!writes_.empty()) {
       const auto [write, token] = std::move(writes_.front());
       writes_.pop_front();
       testing::ApplyWrite(disk_, write);
-      group_.Written(token);
+      shard_.OnWriteDurable(token);
     }
   }
 
  private:
   static constexpr Micros kNow = 1'000'000;
+  static constexpr Micros kTimeout = 1'000'000;
 
   static consensus::Replica MakeReplica(const consensus::StoredState& disk) {
     return {"disk", {{"disk", "here:1"}}, disk, consensus::Timing{}, 1, kNow};
@@ -68,8 +71,8 @@
     outputs.write = [this](ShardWrite write, std::uint64_t token) {
       writes_.emplace_back(std::move(write), token);
     };
-    outputs.writes_wait = [this] { return !writes_.empty(); };
-    outputs.next_token = [this] { return ++token_; };
+    outputs.has_pending_writes = [this] { return !writes_.empty(); };
+    outputs.next_write_token = [this] { return ++token_; };
     outputs.applied = [](int) {};
     return outputs;
   }
@@ -78,46 +81,60 @@
   EchoMachine machine_;
   std::deque<std::pair<ShardWrite, std::uint64_t>> writes_;
   std::uint64_t token_ = 0;
-  ReplicatedStateMachine group_;
+  ReplicatedStateMachine shard_;
 };
 
 }  // namespace
 
-TEST_CASE("The answer to a command of a process's earlier incarnation is not given to a caller of this one") {
+TEST_CASE("A command of an earlier incarnation does not answer a request of this one") {
   consensus::StoredState disk;
-  std::optional<std::string> ignored;
+  std::optional<Result<std::string>> ignored;
   {
     Process process("incarnation 1", disk);
     process.Elect();
-    process.Call("earlier", ignored);
+    process.Submit("earlier", ignored);
     process.WriteAll();
   }
   REQUIRE(disk.entries.size() >= 2);
   Process process("incarnation 2", disk);
-  std::optional<std::string> answer;
-  process.Call("later", answer);
+  std::optional<Result<std::string>> answer;
+  process.Submit("later", answer);
   process.Elect();
   process.WriteAll();
-  CHECK(answer == "later");
+  REQUIRE(answer);
+  REQUIRE(answer->has_value());
+  CHECK(answer->value() == "later");
 }
 
-TEST_CASE("A call that comes again while its command is under way joins it, also from another process") {
+TEST_CASE("Concurrent idempotent requests share one log entry, also when forwarded by a peer") {
   consensus::StoredState disk;
   Process process("incarnation", disk);
   process.Elect();
-  const std::size_t before = process.logged();
+  const std::size_t before = process.log_size();
   std::vector<std::string> answers;
   process.SubmitIdempotent("change", "large", answers);
   process.SubmitIdempotent("change", "large", answers);
   process.Forward("change", "large");
-  CHECK(process.logged() == before + 1);
+  CHECK(process.log_size() == before + 1);
   process.WriteAll();
   CHECK(answers == std::vector<std::string>{"large", "large"});
-  // Once it has been applied, the same call is a new command: it tells what stands then.
+  // Once it has been applied, the same request is a new command, answered from the state of that time.
   process.SubmitIdempotent("change", "large", answers);
   process.WriteAll();
-  CHECK(process.logged() == before + 2);
+  CHECK(process.log_size() == before + 2);
   CHECK(answers.size() == 3);
 }
 
+TEST_CASE("A command that is not applied in time ends with an unknown commit status") {
+  consensus::StoredState disk;
+  Process process("incarnation", disk);
+  std::optional<Result<std::string>> answer;
+  process.Submit("late", answer);
+  CHECK_FALSE(answer);
+  process.Expire();
+  REQUIRE(answer);
+  REQUIRE(answer->has_error());
+  CHECK(answer->error() == ControlErrc::kCommitStatusUnknown);
+}
+
 }  // namespace violetwing
--- a/tests/testing/exploration.hpp
+++ b/tests/testing/exploration.hpp
@@ -14,6 +14,7 @@
 
 #include <array>
 #include <deque>
+#include <functional>
 #include <map>
 #include <memory>
 #include <string>
--- a/tests/testing/virtual_disk.hpp
+++ b/tests/testing/virtual_disk.hpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "control/storage/store.hpp"
+#include "control/storage/shard_write.hpp"
 
 namespace violetwing::testing {
 
--- a/tests/testing/virtual_system.hpp
+++ b/tests/testing/virtual_system.hpp
@@ -20,6 +20,7 @@
 #include "common/time.hpp"
 #include "control/api/handlers.hpp"
 #include "control/control_core.hpp"
+#include "control/replication/bootstrap.hpp"
 #include "dataplane/control_client/control_process_selector.hpp"
 #include "dataplane/control_client/system_view.hpp"
 #include "testing/virtual_disk.hpp"
@@ -65,7 +66,7 @@
       Control control;
       control.address = "10.0.0." + std::to_string(i + 1) + ":100";
       control.public_address = "10.0.0." + std::to_string(i + 1) + ":99";
-      control.disk = FounderDisk(control.address);
+      control.disk = BootstrapReplicaId(control.address);
       controls_.push_back(std::move(control));
     }
     for (std::size_t i = 0; i < controls; ++i) Start(i);
