--- a/src/control/control_service.cpp
+++ b/src/control/control_service.cpp
@@ -80,8 +80,9 @@
 
 std::error_code ControlService::Start(std::string& problem) {
   if (const std::error_code error = OpenDisk(problem)) return error;
-  core_ = std::make_unique<ControlCore>(
-      settings_, incarnation_, Shards::Stored{store_.disk(), store_.stored()}, CoreOutputs(), SteadyMicros());
+  core_ = std::make_unique<ControlCore>(settings_, incarnation_,
+                                        Shards::Stored{store_.replica_id(), store_.stored()}, CoreOutputs(),
+                                        SteadyMicros());
   if (const std::error_code error = Listen(problem)) return error;
   if (const std::error_code error = WatchDisk(problem)) return error;
   tick_ = event_new(
@@ -96,7 +97,7 @@
         service->AwaitOrders();
       },
       this);
-  spdlog::info("control process {} of disk {} takes calls at {}", settings_.node_name, store_.disk(),
+  spdlog::info("control process {} of disk {} takes calls at {}", settings_.node_name, store_.replica_id(),
                settings_.control_plane);
   return {};
 }
@@ -178,7 +179,7 @@
   char bytes[64];
   while (read(written_pipe_[0], bytes, sizeof bytes) > 0) {
   }
-  for (const std::uint64_t token : store_.TakeWritten()) core_->Written(token, SteadyMicros());
+  for (const std::uint64_t token : store_.TakeDurable()) core_->Written(token, SteadyMicros());
 }
 
 // ---- Calls of the core ----
--- a/src/control/replication/commands.hpp
+++ b/src/control/replication/commands.hpp
@@ -30,6 +30,7 @@
   Phase phase = Phase::kDraining;  ///< kDraining or kDeregistered
 };
 
+/// The stored form.
 std::string Encode(const Envelope& envelope);
 std::string Encode(const ConfigurationCommand& command);
 std::string Encode(const DeregistrationCommand& command);
--- a/src/control/replication/replicated_state_machine.hpp
+++ b/src/control/replication/replicated_state_machine.hpp
@@ -73,7 +73,9 @@
   void SubmitIdempotent(const std::string& request_id, const std::string& command, Micros now,
                         SubmitTimeouts timeouts, SubmitCallback done);
 
+  /// The shard's number.
   int shard() const { return shard_; }
+  /// The consensus replica, for membership changes and for questions about leadership.
   const consensus::Replica& replica() const { return replica_; }
   consensus::Replica& replica() { return replica_; }
 
--- a/src/control/replication/shard_state_machines.hpp
+++ b/src/control/replication/shard_state_machines.hpp
@@ -40,6 +40,7 @@
   DeregistrationStateMachine(Deregistrations& state, const OnDeregistered& on_deregistered)
       : state_(state), on_deregistered_(on_deregistered) {}
 
+  /// See StateMachine.
   std::string Apply(const std::string& command) override;
   std::string Save() const override { return state_.Save(); }
   void Load(const std::string& saved) override;
--- a/src/control/storage/json_form.cpp
+++ b/src/control/storage/json_form.cpp
@@ -11,9 +11,9 @@
 using consensus::Snapshot;
 using nlohmann::json;
 
-Members ReadMembers(const json& in) {
+Members MembersFromJson(const json& list) {
   Members members;
-  for (const json& member : in)
+  for (const json& member : list)
     members.push_back({member.at("id").get<std::string>(), member.at("address").get<std::string>()});
   return members;
 }
@@ -22,15 +22,15 @@
 
 std::optional<Entry> EntryFromJson(const std::string& text) {
   try {
-    const json in = json::parse(text);
-    const auto kind = in.at("kind").get<std::string>();
+    const json object = json::parse(text);
+    const auto kind = object.at("kind").get<std::string>();
     Entry entry;
-    in.at("term").get_to(entry.term);
+    object.at("term").get_to(entry.term);
     if (kind == "command") {
-      in.at("command").get_to(entry.command);
+      object.at("command").get_to(entry.command);
     } else if (kind == "members") {
       entry.kind = EntryKind::kMembers;
-      entry.members = ReadMembers(in.at("members"));
+      entry.members = MembersFromJson(object.at("members"));
     } else if (kind == "noop") {
       entry.kind = EntryKind::kNoop;
     } else {
@@ -44,12 +44,12 @@
 
 std::optional<Snapshot> SnapshotFromJson(const std::string& text) {
   try {
-    const json in = json::parse(text);
+    const json object = json::parse(text);
     Snapshot snapshot;
-    in.at("index").get_to(snapshot.index);
-    in.at("term").get_to(snapshot.term);
-    snapshot.members = ReadMembers(in.at("members"));
-    in.at("state").get_to(snapshot.state);
+    object.at("index").get_to(snapshot.index);
+    object.at("term").get_to(snapshot.term);
+    snapshot.members = MembersFromJson(object.at("members"));
+    object.at("state").get_to(snapshot.state);
     return snapshot;
   } catch (const json::exception&) {
     return std::nullopt;
--- a/src/control/storage/json_form.hpp
+++ b/src/control/storage/json_form.hpp
@@ -1,4 +1,5 @@
-// Entries and snapshots as version 1 of the store kept them, in JSON: read, and no longer written.
+// The older stored form of log entries and snapshots: JSON, as format 1 of the store wrote it. It is still
+// read, so that a disk of an earlier version can be used, and no longer written.
 #ifndef VIOLETWING_CONTROL_STORAGE_JSON_FORM_HPP_
 #define VIOLETWING_CONTROL_STORAGE_JSON_FORM_HPP_
 
@@ -9,9 +10,11 @@
 
 namespace violetwing {
 
-// Whether a stored body is of that version: an object's brace begins no body of a later one.
+/// Whether a stored body is of the older form. Unambiguous: no protocol buffer message of a log entry, a
+/// snapshot or a command begins with the byte of an object's brace.
 inline bool IsJsonForm(const std::string& body) { return !body.empty() && body.front() == '{'; }
-// Empty where the text cannot be read.
+
+/// The decoded entry or snapshot; empty if the text is malformed.
 std::optional<consensus::Entry> EntryFromJson(const std::string& text);
 std::optional<consensus::Snapshot> SnapshotFromJson(const std::string& text);
 
--- a/src/control/storage/store.hpp
+++ b/src/control/storage/store.hpp
@@ -1,15 +1,12 @@
-// What a control process keeps on its disk: for each shard the vote, the last snapshot and the log after it,
-// in one SQLite file. All writing is done on a thread of its own, as a sync may hang for seconds; writes that
-// wait are committed together. A write that fails (a full or a failing disk) is tried again until it
-// succeeds: it is then late, never lost, and nothing that depends on it has been said.
+// The durable store of a control process: a worker thread that commits the writes of all shards to the
+// database, since a sync may block for seconds. Queued writes are committed together (group commit). A write
+// that fails, for instance on a full disk, is retried until it succeeds: it is late but never lost, and
+// nothing that depends on it has been acknowledged.
 #ifndef VIOLETWING_CONTROL_STORAGE_STORE_HPP_
 #define VIOLETWING_CONTROL_STORAGE_STORE_HPP_
 
-#include <sqlite3.h>
-
 #include <condition_variable>
 #include <cstdint>
-#include <deque>
 #include <functional>
 #include <map>
 #include <mutex>
@@ -19,53 +16,59 @@
 #include <vector>
 
 #include "control/consensus/replica.hpp"
+#include "control/storage/shard_database.hpp"
 #include "control/storage/shard_write.hpp"
 
 namespace violetwing {
 
+/// Open and then Start are called once, before the others. Enqueue and TakeDurable may be called from any
+/// thread.
 class Store {
  public:
-  // Reads or makes the file. `founder` is the id that a disk made now gets; it stays with the disk. Opening
-  // fails with the system's or SQLite's reason in `problem`.
-  std::error_code Open(const std::string& directory, const std::string& founder, std::string& problem);
+  Store() = default;
+  /// Stops the worker thread; writes that are still queued are dropped.
   ~Store();
+  Store(const Store&) = delete;
+  Store& operator=(const Store&) = delete;
 
-  const std::string& disk() const { return disk_; }
-  const std::map<int, consensus::StoredState>& stored() const { return stored_; }
+  /// See ShardDatabase::Open.
+  std::error_code Open(const std::string& directory, const consensus::ReplicaId& new_id,
+                       std::string& error_message) {
+    return database_.Open(directory, new_id, error_message);
+  }
+  /// The id that stays with this disk.
+  const consensus::ReplicaId& replica_id() const { return database_.replica_id(); }
+  /// What was stored when it was opened, by shard.
+  const std::map<int, consensus::StoredState>& stored() const { return database_.stored(); }
 
-  // `notify` is called on the disk's thread when something has been written; TakeWritten then tells what.
+  /// Starts the worker thread. It calls `notify` after each commit; TakeDurable then returns the tokens.
   void Start(std::function<void()> notify);
-  // Writes after all that was enqueued before; `token` comes back once it would outlive a loss of power.
+  /// Queues a write behind all earlier ones. `token` is returned by TakeDurable once the write would survive
+  /// a loss of power.
   void Enqueue(ShardWrite write, std::uint64_t token);
-  std::vector<std::uint64_t> TakeWritten();
+  /// Tokens of the writes that have become durable since the last call, in their order.
+  std::vector<std::uint64_t> TakeDurable();
 
  private:
-  struct Job {
-    ShardWrite write;
-    std::uint64_t token;
+  // Writes that are committed together, and their tokens.
+  struct Batch {
+    std::vector<ShardWrite> writes;
+    std::vector<std::uint64_t> tokens;
   };
 
-  bool Run(const char* sql, std::string* problem = nullptr);
-  bool ReadAll(std::string& problem);
-  bool ReadSnapshots(std::string& problem);
-  bool ReadEntries(std::string& problem);
-  bool WriteAll(const std::vector<Job>& jobs);
-  bool Write(const ShardWrite& write);
-  bool Step(sqlite3_stmt* statement);
-  void Work();
-
-  sqlite3* database_ = nullptr;
-  std::map<std::string, sqlite3_stmt*> statements_;
-  sqlite3_stmt* Prepare(const std::string& sql);
-  std::string disk_;
-  std::map<int, consensus::StoredState> stored_;
+  void RunWorker();
+  // Retries until the batch is committed; false if the store is stopped before.
+  bool CommitWithRetry(const std::vector<ShardWrite>& writes);
+  bool IsStopped();
 
+  ShardDatabase database_;  // of the worker thread, once it is started
   std::function<void()> notify_;
   std::thread thread_;
-  std::mutex mutex_;
+
+  std::mutex mutex_;  // guards what follows
   std::condition_variable wake_;
-  std::deque<Job> queue_;
-  std::vector<std::uint64_t> written_;
+  Batch queue_;
+  std::vector<std::uint64_t> durable_;
   bool stopped_ = false;
 };
 
