--- a/src/control/control_service.cpp
+++ b/src/control/control_service.cpp
@@ -15,6 +15,7 @@
 
 #include "common/steady_time.hpp"
 #include "control/api/handlers.hpp"
+#include "control/replication/bootstrap.hpp"
 
 namespace violetwing {
 namespace {
@@ -79,8 +80,9 @@
 
 std::error_code ControlService::Start(std::string& problem) {
   if (const std::error_code error = OpenDisk(problem)) return error;
-  core_ = std::make_unique<ControlCore>(
-      settings_, incarnation_, Shards::Stored{store_.disk(), store_.stored()}, CoreOutputs(), SteadyMicros());
+  core_ = std::make_unique<ControlCore>(settings_, incarnation_,
+                                        Shards::Stored{store_.replica_id(), store_.stored()}, CoreOutputs(),
+                                        SteadyMicros());
   if (const std::error_code error = Listen(problem)) return error;
   if (const std::error_code error = WatchDisk(problem)) return error;
   tick_ = event_new(
@@ -95,7 +97,7 @@
         service->AwaitOrders();
       },
       this);
-  spdlog::info("control process {} of disk {} takes calls at {}", settings_.node_name, store_.disk(),
+  spdlog::info("control process {} of disk {} takes calls at {}", settings_.node_name, store_.replica_id(),
                settings_.control_plane);
   return {};
 }
@@ -104,7 +106,7 @@
   const std::vector<std::string>& seeds = settings_.seeds;
   const bool founder =
       settings_.bootstrap && std::find(seeds.begin(), seeds.end(), settings_.control_plane) != seeds.end();
-  const std::string disk = founder ? FounderDisk(settings_.InternalAddress()) : "disk/" + RandomName();
+  const std::string disk = founder ? BootstrapReplicaId(settings_.InternalAddress()) : "disk/" + RandomName();
   return store_.Open(settings_.data_dir, disk, problem);
 }
 
@@ -177,7 +179,7 @@
   char bytes[64];
   while (read(written_pipe_[0], bytes, sizeof bytes) > 0) {
   }
-  for (const std::uint64_t token : store_.TakeWritten()) core_->Written(token, SteadyMicros());
+  for (const std::uint64_t token : store_.TakeDurable()) core_->Written(token, SteadyMicros());
 }
 
 // ---- Calls of the core ----
