--- a/src/control/control_core.cpp
+++ b/src/control/control_core.cpp
@@ -55,7 +55,7 @@
       gossip_({settings.node_name, settings.zone, settings.InternalAddress(), settings.control_plane},
               PeerOutputs()),
       shards_(stored, BootstrapVoters(settings, stored.replica_id), incarnation_, ShardOutputs(), now),
-      member_policy_(consensus::MakeMemberPolicy(
+      member_policy_(consensus::MakeMembershipPolicy(
           static_cast<std::size_t>(std::max(kLeastReplicas, 2 * settings.tolerated_nodes + 1)),
           settings.catch_up_ms * 1000)),
       quorum_contact_lost_at_(now) {
--- a/src/control/replication/replicated_state_machine.cpp
+++ b/src/control/replication/replicated_state_machine.cpp
@@ -124,7 +124,7 @@
   const PendingWrite pending = std::move(it->second);
   pending_writes_.erase(it);
   Send(pending.messages);
-  if (pending.last_index > 0) replica_.Written(pending.last_index, pending.last_term);
+  if (pending.last_index > 0) replica_.OnLogDurable(pending.last_index, pending.last_term);
   Flush();
 }
 
@@ -195,7 +195,7 @@
 }
 
 bool ReplicatedStateMachine::IsCompactionDue() const {
-  return replica_.entries() > kMaxEntriesSinceSnapshot ||
+  return replica_.entries_since_snapshot() > kMaxEntriesSinceSnapshot ||
          machine_.worked() - worked_at_snapshot_ > kMaxWorkSinceSnapshot ||
          log_bytes_since_snapshot_ > kMaxLogBytesSinceSnapshot;
 }
--- a/src/control/replication/shards.cpp
+++ b/src/control/replication/shards.cpp
@@ -43,7 +43,7 @@
     const std::uint64_t seed =
         XXH64(incarnation.data(), incarnation.size(), static_cast<std::uint64_t>(shard));
     consensus::Timing timing;
-    timing.start_first = number;  // spreads the first leaders over the processes
+    timing.startup_first_candidate = number;  // spreads the first leaders over the processes
     AddShard(shard, incarnation, *machines_.back(),
              consensus::Replica(replica_id_, bootstrap_voters, std::move(stored.shards[shard]), timing, seed,
                                 now));
@@ -131,19 +131,19 @@
 std::vector<int> Shards::ShardsToJoin(Micros now) const {
   std::vector<int> out;
   for (const auto& shard : shards_)
-    if (shard->replica().WantsToJoin(now)) out.push_back(shard->shard());
+    if (shard->replica().NeedsToJoin(now)) out.push_back(shard->shard());
   return out;
 }
 
 void Shards::SetLeaving(const consensus::ReplicaId& id, bool leaving) {
-  for (const auto& shard : shards_) shard->replica().SetLeaving(id, leaving);
+  for (const auto& shard : shards_) shard->replica().SetDraining(id, leaving);
 }
 
 std::vector<std::string> Shards::ReviewMembers(const consensus::MembershipPolicy& policy, Micros now) {
   std::vector<std::string> addresses;
   for (const auto& shard : shards_) {
     for (const consensus::Member& member : shard->replica().members()) addresses.push_back(member.address);
-    const auto next = consensus::NextMembers(shard->replica(), policy, now);
+    const auto next = consensus::NextMembership(shard->replica(), policy, now);
     if (!next || !shard->replica().ProposeMembers(*next)) continue;
     spdlog::info("membership change proposed shard={} replicas={}", shard->shard(), next->size());
     shard->Tick(now);
--- a/src/control/replication/shards.hpp
+++ b/src/control/replication/shards.hpp
@@ -75,7 +75,7 @@
   void SetLeaving(const consensus::ReplicaId& id, bool leaving);
   /// Proposes membership changes that are due in the shards that this process leads. Returns the addresses of
   /// all members of all shards; some may occur more than once.
-  std::vector<std::string> ReviewMembers(const consensus::MemberPolicy& policy, Micros now);
+  std::vector<std::string> ReviewMembers(const consensus::MembershipPolicy& policy, Micros now);
   /// Shards in which this replica is not a voter, or cannot learn whether it is.
   std::vector<int> ShardsToJoin(Micros now) const;
 
--- a/src/control/storage/shard_database.cpp
+++ b/src/control/storage/shard_database.cpp
@@ -5,7 +5,7 @@
 
 #include "control/storage/json_form.hpp"
 #include "control/storage/storage_error.hpp"
-#include "messages/consensus.hpp"
+#include "control/consensus/encoding.hpp"
 
 namespace violetwing {
 namespace {
