--- a/src/control/control_core.cpp
+++ b/src/control/control_core.cpp
@@ -332,7 +332,7 @@
 void ControlCore::CountDemand(const std::vector<ModelDemand>& demand) {
   if (demand.empty()) return;
   if (shards_.configuration_replica().leader()) {
-    placer_.CountDemand(demand, now_);
+    placer_.RecordDemand(demand, now_);
     const auto waits = [](const ModelDemand& one) { return one.waiting > 0; };
     if (std::any_of(demand.begin(), demand.end(), waits)) TickPlacer();
     return;
--- a/src/control/placement/placer.cpp
+++ b/src/control/placement/placer.cpp
@@ -2,191 +2,215 @@
 
 #include <algorithm>
 #include <cmath>
-#include <utility>
+
+#include "control/placement/weights_name.hpp"
 
 namespace violetwing {
 namespace {
 
-// Loads beyond the rate that may begin in a burst. The rule's window allows 10% and three more than the rate.
-constexpr double kBurst = 3;
-// Adapters come within some ms.
-constexpr double kAdapterSeconds = 0.025;
-// A server's own disk takes so much of the time that the weight store does.
-constexpr double kWarmShare = 0.22;
-// A model is unloaded for a further copy of another one only if that is worth clearly more.
-constexpr double kWorthMore = 1.5;
-// A model whose copies have so many times the work of a server in the mean goes before those that single
-// requests wait for: all who ask for it are late.
-constexpr double kOverloaded = 1.3;
-// Models that are waited for get their place in the order in which they were asked for, those before that so
-// many requests a second ask for: after a gap without a placer there are more than can be loaded at once.
-constexpr double kManyAsk = 1.5;
-// What a server that has twice the mean of all work to do counts as, beside one with the mean, in requests a
-// second.
-constexpr double kLoadCost = 0.1;
-// A load from the weight store costs, in requests a second that go without their model, what its time and its
-// price do; one from the server's own disk much less.
-constexpr double kColdCost = 0.05;
-// An unload waits for the model's runs, 2 to 3 s where there are any; without its victim a server goes
-// without what the victim serves for some 5 s. So much of the new model's worth is lost by waiting.
-constexpr double kWaitForRuns = 0.5;
-
-std::string NameOf(const std::string& model, const std::string& adapter) {
-  return adapter.empty() ? model : model + "/" + adapter;
+// Burst of loads from the weight store. The ceiling allows 10% and three loads above the rate (RULES.md,
+// "Model servers").
+constexpr double kStoreLoadBurst = 3;
+// Rate of loads from the weight store if the configuration gives none.
+constexpr double kDefaultStoreLoadsPerSecond = 1;
+// An adapter arrives within some milliseconds.
+constexpr double kAdapterLoadS = 0.025;
+// Time of a load from the server's own disk, as a share of the time of one from the weight store.
+constexpr double kLocalDiskTimeShare = 0.22;
+// A model is evicted for a replica of another one only if the gain is this many times the cost.
+constexpr double kMinGainPerCost = 1.5;
+// Models whose replicas have this many times the mean load of a server get replicas before those that single
+// requests wait for: all of their requests are late.
+constexpr double kOverloadedRelativeLoad = 1.3;
+// Models that requests wait for are loaded in the order of their first request, except that those with at
+// least this many requests per second go first: after a time without a placer, more wait than can be loaded
+// at once.
+constexpr double kHighDemandRequestsPerSecond = 1.5;
+// Cost of loading a model at a server with the mean load, in requests per second; in proportion to the load.
+constexpr double kServerLoadCost = 0.1;
+// Cost of a load from the weight store beyond one from the server's own disk, in requests per second.
+constexpr double kStoreLoadCost = 0.05;
+// Share of a model's value that is lost while an unload waits for running requests: 2 to 3 s of the 5 s or so
+// that the server lacks the evicted model.
+constexpr double kDrainValueShare = 0.5;
+
+// The weight store is shared by all services: the highest rate configured.
+double StoreLoadsPerSecond(const configuration::Configuration& configuration) {
+  double rate = 0;
+  for (const configuration::Backend& backend : configuration.backends)
+    if (backend.runtime != nullptr) rate = std::max(rate, backend.runtime->loads_per_s);
+  return rate > 0 ? rate : kDefaultStoreLoadsPerSecond;
 }
 
 }  // namespace
 
-void Placer::Begin(Micros now) {
-  orders_.Clear();
-  loads_left_ = 0;
-  refilled_at_ = now;
-}
+Placer::Placer() : store_loads_(kStoreLoadBurst) {}
 
-void Placer::Refill(const configuration::Configuration& configuration, Micros now) {
-  double rate = 0;
-  for (const configuration::Backend& backend : configuration.backends)
-    if (backend.runtime != nullptr) rate = std::max(rate, backend.runtime->loads_per_s);
-  if (rate <= 0) rate = 1;
-  loads_left_ = std::min(kBurst, loads_left_ + rate * static_cast<double>(now - refilled_at_) / 1e6);
-  refilled_at_ = now;
+void Placer::Begin(Micros now) {
+  state_.Clear();
+  store_loads_.Reset(now);
 }
 
 std::vector<PlacementCall> Placer::Plan(const configuration::Configuration& configuration,
                                         InstanceTable& table, Micros now) {
-  Refill(configuration, now);
-  orders_.Meet(configuration, table, now);
+  store_loads_.Refill(StoreLoadsPerSecond(configuration), now);
+  state_.ReconcileServers(configuration, table, now);
   for (const configuration::Backend& backend : configuration.backends) {
     if (backend.runtime == nullptr) continue;
-    ServiceView service(backend, orders_, demand_, now);
-    PlaceCopies(service, kOverloaded, now);
-    PlaceWaiting(service, now);
-    PlaceCopies(service, 0, now);
+    ServiceView service(backend, state_, demand_, now);
+    AddReplicas(service, kOverloadedRelativeLoad, now);
+    LoadWaiting(service, now);
+    AddReplicas(service, 0, now);
   }
-  orders_.Publish(table);
-  return orders_.DueCalls(now);
+  state_.Publish(table);
+  return state_.TakeDueCalls(now);
+}
+
+void Placer::OnOrderAnswered(const PlacementCall& call, OrderStatus status, Micros now) {
+  if (const auto loaded = state_.OnOrderAnswered(call, status, now))
+    demand_.OnLoaded(loaded->service, WeightsName(loaded->model, loaded->adapter));
 }
 
-void Placer::PlaceWaiting(ServiceView& service, Micros now) {
+// ---- Which models to load ----
+
+void Placer::LoadWaiting(ServiceView& service, Micros now) {
   std::vector<std::string> waiting = demand_.Waiting(service.name(), now);
-  const auto many = [&](const std::string& name) {
-    return demand_.Get(service.name(), name, now).requests >= kManyAsk;
-  };
-  std::stable_partition(waiting.begin(), waiting.end(), many);
+  std::stable_partition(waiting.begin(), waiting.end(), [&](const std::string& name) {
+    return demand_.Get(service.name(), name, now).requests_per_second >= kHighDemandRequestsPerSecond;
+  });
   for (const std::string& name : waiting) {
-    const std::size_t slash = name.find('/');
-    ServiceView::Model* model = service.Find(std::string_view(name).substr(0, slash));
+    ServiceView::Model* model = service.Find(ModelIn(name));
     if (model == nullptr) continue;
-    if (model->copies == 0)
-      PlaceModel(service, *model, true, now);
-    else if (slash != std::string::npos)
-      PlaceAdapter(service, *model, name.substr(slash + 1), now);
+    if (model->replicas == 0)
+      LoadModel(service, *model, LoadReason::kRequestsWaiting, now);
+    else if (const std::optional<std::string> adapter = AdapterIn(name))
+      LoadAdapter(service, *model, *adapter, now);
   }
 }
 
-void Placer::PlaceCopies(ServiceView& service, double least_load, Micros now) {
-  const auto short_of = [&](const ServiceView::Model& model) {
-    return model.copies > 0 && model.copies < model.wanted && service.LoadOfCopy(model) >= least_load;
+void Placer::AddReplicas(ServiceView& service, double min_relative_load, Micros now) {
+  const auto lacks_replicas = [&](const ServiceView::Model& model) {
+    return model.replicas > 0 && model.replicas < model.target_replicas &&
+           service.RelativeReplicaLoad(model) >= min_relative_load;
   };
   std::vector<ServiceView::Model*> models;
   for (ServiceView::Model& model : service.models())
-    if (short_of(model)) models.push_back(&model);
-  std::sort(models.begin(), models.end(),
-            [&](const auto* a, const auto* b) { return service.LoadOfCopy(*a) > service.LoadOfCopy(*b); });
+    if (lacks_replicas(model)) models.push_back(&model);
+  std::sort(models.begin(), models.end(), [&](const auto* a, const auto* b) {
+    return service.RelativeReplicaLoad(*a) > service.RelativeReplicaLoad(*b);
+  });
   for (ServiceView::Model* model : models)
-    while (short_of(*model))
-      if (!PlaceModel(service, *model, false, now)) break;
+    while (lacks_replicas(*model))
+      if (!LoadModel(service, *model, LoadReason::kMoreReplicas, now)) break;
 }
 
-std::optional<Placer::Place> Placer::FindPlace(ServiceView& service, const ServiceView::Model& model,
-                                               double worth) const {
-  const std::string& name = model.spec->name;
-  const configuration::Runtime& runtime = service.runtime();
-  const int at_once = std::max(1, static_cast<int>(std::ceil(runtime.loads_per_s * model.spec->load_time_s)));
-  const bool cold_allowed = loads_left_ >= 1 && orders_.LoadsUnderWay() < at_once;
-  std::optional<Place> best;
+// ---- Where to load a model ----
+
+bool Placer::LoadModel(ServiceView& service, ServiceView::Model& model, LoadReason reason, Micros now) {
+  const bool requests_wait = reason == LoadReason::kRequestsWaiting;
+  const double gain = ServiceView::ReplicaGain(model);
+  const double value = requests_wait ? std::max(gain, model.demand.requests_per_second) : gain;
+  const std::optional<PlacementOption> option = CheapestOption(service, model, value);
+  if (!option) return false;
+  const bool pays = !option->eviction || gain >= kMinGainPerCost * option->eviction->eviction_cost;
+  if (!requests_wait && !pays) return false;
+  StartModelLoad(service, model, *option, now);
+  return true;
+}
+
+void Placer::StartModelLoad(ServiceView& service, ServiceView::Model& model, const PlacementOption& option,
+                            Micros now) {
+  if (!option.on_local_disk) store_loads_.Take();
+  const double time_share = option.on_local_disk ? kLocalDiskTimeShare : 1.0;
+  const LoadRequest load{model.spec->name, {}, model.spec->load_time_s * time_share};
+  ServiceView::Server& server = *option.server;
+  if (option.eviction) {
+    ServiceView::Model& evicted = service.models()[option.eviction->model];
+    --evicted.replicas;
+    std::erase(server.models, option.eviction->model);
+    state_.StartUnload(*server.id, evicted.spec->name, {}, load, now);
+  } else {
+    state_.StartLoad(*server.id, load, now);
+  }
+  ++model.replicas;
+}
+
+std::optional<Placer::PlacementOption> Placer::CheapestOption(ServiceView& service,
+                                                              const ServiceView::Model& model,
+                                                              double value) const {
+  const bool store_load_allowed = StoreLoadAllowed(service.runtime(), *model.spec);
+  std::optional<PlacementOption> cheapest;
   for (ServiceView::Server& server : service.servers()) {
-    if (!server.state->Free() || server.state->Holds(name)) continue;
-    Place place;
-    place.server = &server;
-    place.warm = server.state->ever_held.count(name) > 0;
-    if (!place.warm && !cold_allowed) continue;
-    if (server.free_mb < model.spec->weights_mb) {
-      place.victim = service.LeastMissed(server, kWaitForRuns * worth);
-      if (!place.victim) continue;
-      const double freed = service.models()[place.victim->model].spec->weights_mb;
-      if (server.free_mb + freed < model.spec->weights_mb) continue;
-      place.cost += place.victim->cost + place.victim->wait;
-    }
-    if (!place.warm) place.cost += kColdCost;
-    place.cost += kLoadCost * service.WorkAt(server) / service.MeanWork();
-    if (!best || place.cost < best->cost) best = place;
+    const auto option = OptionAt(service, model, server, value, store_load_allowed);
+    if (option && (!cheapest || option->cost < cheapest->cost)) cheapest = option;
   }
-  return best;
+  return cheapest;
 }
 
-bool Placer::PlaceModel(ServiceView& service, ServiceView::Model& model, bool waited_for, Micros now) {
-  const double gain = service.GainOfCopy(model);
-  const std::optional<Place> place =
-      FindPlace(service, model, waited_for ? std::max(gain, model.demand.requests) : gain);
-  if (!place) return false;
-  const bool pays = !place->victim || gain >= kWorthMore * place->victim->cost;
-  if (!waited_for && !pays) return false;
-  if (!place->warm) loads_left_ -= 1;
-  const PlacementState::Load load{
-      model.spec->name, {}, model.spec->load_time_s * (place->warm ? kWarmShare : 1.0)};
-  if (place->victim) {
-    ServiceView::Model& goes = service.models()[place->victim->model];
-    --goes.copies;
-    std::erase(place->server->held, place->victim->model);
-    orders_.StartUnload(*place->server->id, goes.spec->name, {}, load, now);
-  } else {
-    orders_.StartLoad(*place->server->id, load, now);
+std::optional<Placer::PlacementOption> Placer::OptionAt(ServiceView& service, const ServiceView::Model& model,
+                                                        ServiceView::Server& server, double value,
+                                                        bool store_load_allowed) {
+  const std::string& name = model.spec->name;
+  if (!server.state->Idle() || server.state->Holds(name)) return std::nullopt;
+  PlacementOption option;
+  option.server = &server;
+  option.on_local_disk = server.state->previously_held.count(name) > 0;
+  if (!option.on_local_disk && !store_load_allowed) return std::nullopt;
+  if (server.free_mb < model.spec->weights_mb) {
+    option.eviction = service.CheapestEviction(server, kDrainValueShare * value);
+    if (!option.eviction) return std::nullopt;
+    const double freed_mb = service.models()[option.eviction->model].spec->weights_mb;
+    if (server.free_mb + freed_mb < model.spec->weights_mb) return std::nullopt;
+    option.cost += option.eviction->TotalCost();
   }
-  ++model.copies;
-  return true;
+  if (!option.on_local_disk) option.cost += kStoreLoadCost;
+  option.cost += kServerLoadCost * service.TokensPerSecond(server) / service.MeanTokensPerSecond();
+  return option;
+}
+
+bool Placer::StoreLoadAllowed(const configuration::Runtime& runtime,
+                              const configuration::Model& model) const {
+  const int max_concurrent =
+      std::max(1, static_cast<int>(std::ceil(runtime.loads_per_s * model.load_time_s)));
+  return store_loads_.HasToken() && state_.ModelLoadsInFlight() < max_concurrent;
 }
 
-bool Placer::PlaceAdapter(ServiceView& service, const ServiceView::Model& model, const std::string& adapter,
-                          Micros now) {
+// ---- Adapters ----
+
+void Placer::LoadAdapter(ServiceView& service, const ServiceView::Model& model, const std::string& adapter,
+                         Micros now) {
   const std::string& name = model.spec->name;
-  if (orders_.OnItsWay(service.name(), name, adapter)) return false;
-  const auto most = static_cast<std::size_t>(std::max(service.runtime().max_adapters, 0));
-  ServiceView::Server* best = nullptr;
+  if (state_.IsLoading(service.name(), name, adapter)) return;
+  const auto max_adapters = static_cast<std::size_t>(std::max(service.runtime().max_adapters, 0));
+  if (max_adapters == 0) return;
+  ServiceView::Server* best = nullptr;  // the one with the fewest adapters
   for (ServiceView::Server& server : service.servers()) {
-    if (!server.state->Free() || !server.state->Holds(name)) continue;
-    if (best == nullptr || server.state->Adapters() < best->state->Adapters()) best = &server;
+    if (!server.state->Idle() || !server.state->Holds(name)) continue;
+    if (best == nullptr || server.state->AdapterCount() < best->state->AdapterCount()) best = &server;
   }
-  if (best == nullptr || most == 0) return false;
-  const PlacementState::Load load{name, adapter, kAdapterSeconds};
-  if (best->state->Adapters() < most && best->free_mb >= model.spec->adapter_mb) {
-    orders_.StartLoad(*best->id, load, now);
-  } else {
-    const std::optional<PlacementState::Load> oldest = OldestAdapter(service, *best, now);
-    if (!oldest) return false;
-    orders_.StartUnload(*best->id, oldest->model, oldest->adapter, load, now);
+  if (best == nullptr) return;
+  const LoadRequest load{name, adapter, kAdapterLoadS};
+  if (best->state->AdapterCount() < max_adapters && best->free_mb >= model.spec->adapter_mb) {
+    state_.StartLoad(*best->id, load, now);
+  } else if (const auto evicted = LeastRecentlyRequestedAdapter(service, *best, now)) {
+    state_.StartUnload(*best->id, evicted->model, evicted->adapter, load, now);
   }
-  return true;
 }
 
-std::optional<PlacementState::Load> Placer::OldestAdapter(const ServiceView& service,
-                                                          const ServiceView::Server& server,
-                                                          Micros now) const {
-  std::optional<PlacementState::Load> oldest;
-  Micros asked_at = 0;
+std::optional<Placer::HeldAdapter> Placer::LeastRecentlyRequestedAdapter(const ServiceView& service,
+                                                                         const ServiceView::Server& server,
+                                                                         Micros now) const {
+  std::optional<HeldAdapter> oldest;
+  Micros oldest_request_at = 0;
   for (const HeldModel& held : server.state->models)
     for (const std::string& adapter : held.adapters) {
-      const Micros asked = demand_.Get(service.name(), NameOf(held.name, adapter), now).asked_at;
-      if (oldest && asked >= asked_at) continue;
-      oldest = PlacementState::Load{held.name, adapter, 0};
-      asked_at = asked;
+      const std::string name = WeightsName(held.name, adapter);
+      const Micros last_request_at = demand_.Get(service.name(), name, now).last_request_at;
+      if (oldest && last_request_at >= oldest_request_at) continue;
+      oldest = HeldAdapter{held.name, adapter};
+      oldest_request_at = last_request_at;
     }
   return oldest;
 }
 
-void Placer::OnAnswer(const PlacementCall& order, int status, Micros now) {
-  if (const auto arrived = orders_.OnAnswer(order, status, now))
-    demand_.Served(arrived->service, NameOf(arrived->model, arrived->adapter));
-}
-
 }  // namespace violetwing
--- a/src/control/placement/service_view.cpp
+++ b/src/control/placement/service_view.cpp
@@ -2,132 +2,156 @@
 
 #include <algorithm>
 #include <cmath>
+#include <utility>
 
 namespace violetwing {
 namespace {
 
-// A model that was asked for just now is missed as much as one that is asked for once in so long.
-constexpr double kRecentS = 6;
-// Idle for so long, a model that nobody ever asked for counts as.
-constexpr double kNeverAskedS = 1e3;
-// Copies beyond the wanted ones that count as used: what is wanted varies by one from moment to moment.
-constexpr int kSpareCopies = 1;
-// Where one of several copies goes, its requests run elsewhere: the share of them that is late for it.
-constexpr double kLateWithoutCopy = 0.15;
-// What an unused copy, and a used one at least, is missed by.
-constexpr double kUnusedCopy = 0.01;
-constexpr double kUsedCopy = 0.02;
-// A request runs for so long, streams in the mean.
-constexpr double kRunS = 1.5;
-// Requests a second below which a further copy of a model would stand idle.
-constexpr double kRequestsPerCopy = 0.5;
+// Losing the last replica of a model requested just now costs as much as that of one requested once per this
+// time, in seconds.
+constexpr double kRecentRequestS = 6;
+// Idle time assumed for a model that was never requested, in seconds.
+constexpr double kNeverRequestedIdleS = 1e3;
+// Replicas beyond the target that count as used: the target varies by one from moment to moment.
+constexpr int kSpareReplicas = 1;
+// Share of a replica's requests that are late after its loss while other replicas serve them.
+constexpr double kLateShare = 0.15;
+// Eviction cost of all the replicas of a model together that are not used, and at least of one that is, in
+// requests per second.
+constexpr double kUnusedReplicaCost = 0.01;
+constexpr double kMinUsedReplicaCost = 0.02;
+// Mean duration of a request, in seconds; most are streams.
+constexpr double kMeanRequestS = 1.5;
+// Requests per second below which a further replica would stand idle.
+constexpr double kMinRequestsPerReplica = 0.5;
 
 }  // namespace
 
-ServiceView::ServiceView(const configuration::Backend& backend, const PlacementState& orders,
-                         const Demand& demand, Micros now)
+ServiceView::ServiceView(const configuration::Backend& backend, const PlacementState& state,
+                         const DemandTracker& demand, Micros now)
     : backend_(backend), now_(now) {
-  TakeModels(demand);
-  TakeServers(orders);
-  CountWanted();
-  double all = 0;
-  for (const Server& server : servers_) all += WorkAt(server);
-  if (!servers_.empty()) mean_work_ = std::max(1.0, all / static_cast<double>(servers_.size()));
+  AddModels(demand);
+  AddServers(state);
+  SetTargetReplicas();
+  SetMeanTokensPerSecond();
 }
 
-void ServiceView::TakeModels(const Demand& demand) {
+void ServiceView::AddModels(const DemandTracker& demand) {
   const std::vector<configuration::Model>& specs = backend_.runtime->models;
   models_.reserve(specs.size());
-  places_.reserve(specs.size());
+  model_index_.reserve(specs.size());
   for (const configuration::Model& spec : specs) {
-    places_.emplace(spec.name, models_.size());
+    model_index_.emplace(spec.name, models_.size());
     models_.push_back({&spec, demand.Get(backend_.name, spec.name, now_), 0, 0});
   }
 }
 
-void ServiceView::TakeServers(const PlacementState& orders) {
-  const auto on_its_way = [this](const std::string& name) {
-    if (Model* model = Find(name)) ++model->copies;
-  };
-  for (const auto& [id, state] : orders.servers()) {
-    if (state.service != backend_.name) continue;
-    Server server;
-    server.id = &id;
-    server.state = &state;
-    double used = 0;
-    for (const HeldModel& held : state.models) {
-      Model* model = Find(held.name);
-      if (model == nullptr) continue;
-      ++model->copies;
-      server.held.push_back(static_cast<std::size_t>(model - models_.data()));
-      used += model->spec->weights_mb + static_cast<double>(held.adapters.size()) * model->spec->adapter_mb;
-    }
-    server.free_mb = backend_.runtime->weights_mb - used;
-    servers_.push_back(std::move(server));
-    if (!state.work) continue;
-    const PlacementState::Work& work = *state.work;
-    if (work.order.kind == PlacementCall::Kind::kLoad && work.order.adapter.empty())
-      on_its_way(work.order.model);
-    if (work.then && work.then->adapter.empty()) on_its_way(work.then->model);
+void ServiceView::AddServers(const PlacementState& state) {
+  for (const auto& [id, server] : state.servers()) {
+    if (server.service != backend_.name) continue;
+    servers_.push_back(MakeServer(id, server));
+    if (server.in_flight) CountLoadingReplicas(*server.in_flight);
   }
 }
 
-// A server's models share its time: work is spread evenly if the copies of a model are to the servers as its
-// work is to all work.
-void ServiceView::CountWanted() {
-  double all = 0;
-  for (const Model& model : models_) all += model.demand.tokens;
-  if (all <= 0) return;
+ServiceView::Server ServiceView::MakeServer(const std::string& id, const ServerState& state) {
+  Server server;
+  server.id = &id;
+  server.state = &state;
+  double used_mb = 0;
+  for (const HeldModel& held : state.models) {
+    Model* model = Find(held.name);
+    if (model == nullptr) continue;
+    ++model->replicas;
+    server.models.push_back(static_cast<std::size_t>(model - models_.data()));
+    used_mb += model->spec->weights_mb + static_cast<double>(held.adapters.size()) * model->spec->adapter_mb;
+  }
+  server.free_mb = backend_.runtime->weights_mb - used_mb;
+  return server;
+}
+
+void ServiceView::CountLoadingReplicas(const InFlightOrder& order) {
+  if (order.call.kind == PlacementCall::Kind::kLoad && order.call.adapter.empty())
+    CountReplica(order.call.model);
+  if (order.next_load && order.next_load->adapter.empty()) CountReplica(order.next_load->model);
+}
+
+void ServiceView::CountReplica(const std::string& name) {
+  if (Model* model = Find(name)) ++model->replicas;
+}
+
+// A server's models share its time: load is even if a model's share of the replicas is its share of the
+// tokens.
+void ServiceView::SetTargetReplicas() {
+  double all_tokens = 0;
+  for (const Model& model : models_) all_tokens += model.demand.tokens_per_second;
+  if (all_tokens <= 0) return;
   for (Model& model : models_) {
-    const auto even = std::lround(model.demand.tokens / all * static_cast<double>(servers_.size()));
-    const auto used = static_cast<long>(model.demand.requests / kRequestsPerCopy);
-    model.wanted = static_cast<int>(std::min(even, std::max(1L, used)));
+    const double share = model.demand.tokens_per_second / all_tokens;
+    const auto even = std::lround(share * static_cast<double>(servers_.size()));
+    const auto busy = static_cast<long>(model.demand.requests_per_second / kMinRequestsPerReplica);
+    model.target_replicas = static_cast<int>(std::min(even, std::max(1L, busy)));
   }
 }
 
+void ServiceView::SetMeanTokensPerSecond() {
+  double all_tokens = 0;
+  for (const Server& server : servers_) all_tokens += TokensPerSecond(server);
+  if (!servers_.empty())
+    mean_tokens_per_second_ = std::max(1.0, all_tokens / static_cast<double>(servers_.size()));
+}
+
 ServiceView::Model* ServiceView::Find(std::string_view name) {
-  const auto it = places_.find(name);
-  return it == places_.end() ? nullptr : &models_[it->second];
+  const auto it = model_index_.find(name);
+  return it == model_index_.end() ? nullptr : &models_[it->second];
 }
 
-// One copy of many is missed by the work that it takes off the others; the last one by all who ask.
-double ServiceView::CostOfLosing(const Model& model) const {
-  const int held = std::max(model.copies, 1);
-  const Demand::Of& demand = model.demand;
-  if (held > 1) {
-    if (held > std::max(model.wanted + kSpareCopies, 1)) return kUnusedCopy / held;
-    return std::max(kLateWithoutCopy * demand.requests / held, kUsedCopy);
+// Without one of several replicas, the others take over its load; without the last one, all requests for the
+// model fail.
+double ServiceView::EvictionCost(const Model& model) const {
+  const int replicas = std::max(model.replicas, 1);
+  const DemandStats& demand = model.demand;
+  if (replicas > 1) {
+    if (replicas > std::max(model.target_replicas + kSpareReplicas, 1)) return kUnusedReplicaCost / replicas;
+    return std::max(kLateShare * demand.requests_per_second / replicas, kMinUsedReplicaCost);
   }
-  const double idle_s =
-      demand.asked_at == 0 ? kNeverAskedS : static_cast<double>(now_ - demand.asked_at) / 1e6;
-  return std::max(demand.requests, demand.steady) + 1 / (kRecentS + idle_s);
+  const double idle_s = demand.last_request_at == 0
+                            ? kNeverRequestedIdleS
+                            : static_cast<double>(now_ - demand.last_request_at) / 1e6;
+  const double requests_per_second = std::max(demand.requests_per_second, demand.steady_requests_per_second);
+  return requests_per_second + 1 / (kRecentRequestS + idle_s);
 }
 
-double ServiceView::GainOfCopy(const Model& model) const {
-  return kLateWithoutCopy * model.demand.requests / std::max(model.copies, 1);
+double ServiceView::ReplicaGain(const Model& model) {
+  return kLateShare * model.demand.requests_per_second / std::max(model.replicas, 1);
 }
 
-// The chance that a request runs on a copy.
-double ServiceView::Busy(const Model& model) const {
-  return std::min(1.0, model.demand.requests / std::max(model.copies, 1) * kRunS);
+// The probability that a request runs on a replica.
+double ServiceView::BusyProbability(const Model& model) {
+  return std::min(1.0, model.demand.requests_per_second / std::max(model.replicas, 1) * kMeanRequestS);
 }
 
-std::optional<ServiceView::Victim> ServiceView::LeastMissed(const Server& server, double wait_cost) const {
-  const auto whole = [](const Victim& victim) { return victim.cost + victim.wait; };
-  std::optional<Victim> least;
-  for (const std::size_t place : server.held) {
-    if (server.state->JustLoaded(models_[place].spec->name, now_)) continue;
-    const Victim victim{place, CostOfLosing(models_[place]), wait_cost * Busy(models_[place])};
-    if (!least || whole(victim) < whole(*least)) least = victim;
+std::optional<ServiceView::EvictionCandidate> ServiceView::CheapestEviction(const Server& server,
+                                                                            double drain_cost) const {
+  std::optional<EvictionCandidate> cheapest;
+  for (const std::size_t index : server.models) {
+    const Model& model = models_[index];
+    if (server.state->JustLoaded(model.spec->name, now_)) continue;
+    const EvictionCandidate candidate{index, EvictionCost(model), drain_cost * BusyProbability(model)};
+    if (!cheapest || candidate.TotalCost() < cheapest->TotalCost()) cheapest = candidate;
   }
-  return least;
+  return cheapest;
+}
+
+double ServiceView::TokensPerSecond(const Server& server) const {
+  double tokens_per_second = 0;
+  for (const std::size_t index : server.models)
+    tokens_per_second += models_[index].demand.tokens_per_second / std::max(models_[index].replicas, 1);
+  return tokens_per_second;
 }
 
-double ServiceView::WorkAt(const Server& server) const {
-  double work = 0;
-  for (const std::size_t place : server.held)
-    work += models_[place].demand.tokens / std::max(models_[place].copies, 1);
-  return work;
+double ServiceView::RelativeReplicaLoad(const Model& model) const {
+  return model.demand.tokens_per_second / std::max(model.replicas, 1) / mean_tokens_per_second_;
 }
 
 }  // namespace violetwing
