--- a/src/control/api/handlers.cpp
+++ b/src/control/api/handlers.cpp
@@ -39,15 +39,15 @@
   return error == std::errc() && end == digits.data() + digits.size() && out >= 0;
 }
 
-int StatusOf(configuration::Outcome outcome) {
-  switch (outcome) {
-    case configuration::Outcome::kTaken:
+int StatusOf(configuration::ChangeStatus status) {
+  switch (status) {
+    case configuration::ChangeStatus::kAccepted:
       return 200;
-    case configuration::Outcome::kConflict:
+    case configuration::ChangeStatus::kVersionConflict:
       return 412;
-    case configuration::Outcome::kUnknown:
+    case configuration::ChangeStatus::kUnknown:
       return 503;
-    case configuration::Outcome::kInvalid:
+    case configuration::ChangeStatus::kInvalid:
       break;
   }
   return 400;
@@ -79,16 +79,17 @@
 void HandleChange(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
   configuration::Change change;
   change.patch = request.method == "PATCH";
-  if (!ParseIfMatch(request.if_match, change.base)) return answer(Problem(400, "If-Match: is no version"));
+  if (!ParseIfMatch(request.if_match, change.base_version))
+    return answer(Problem(400, "If-Match: is no version"));
   // What cannot be read is refused here: the log holds valid text alone.
   if (!json::accept(request.body)) return answer(Problem(400, "document: cannot be read whole as JSON"));
   change.body = request.body;
-  core.Change(change, now, [answer](const std::optional<configuration::Answer>& result) {
+  core.Change(change, now, [answer](const std::optional<configuration::ChangeOutcome>& result) {
     if (!result) return answer(Unavailable("no quorum has taken it yet; send it again unchanged"));
-    const int status = StatusOf(result->outcome);
+    const int status = StatusOf(result->status);
     if (status == 200) return answer({200, json{{"version", result->version}}.dump(), {}});
-    if (status == 503) return answer(Unavailable(result->problem));
-    answer(Problem(status, result->problem));
+    if (status == 503) return answer(Unavailable(result->message));
+    answer(Problem(status, result->message));
   });
 }
 
--- a/src/control/configuration/accepted_changes.cpp
+++ b/src/control/configuration/accepted_changes.cpp
@@ -7,10 +7,10 @@
 namespace violetwing::configuration {
 
 std::string DigestOf(const Change& change) {
-  const std::string text =
-      std::string(change.patch ? "patch " : "put ") + std::to_string(change.base) + "\n" + change.body;
+  const std::string kind = change.patch ? "patch " : "put ";
+  const std::string text = kind + std::to_string(change.base_version) + "\n" + change.body;
   const XXH128_hash_t hash = XXH3_128bits(text.data(), text.size());
-  char out[33];
+  char out[33];  // 32 hexadecimal digits and the end of the string
   std::snprintf(out, sizeof out, "%016llx%016llx", static_cast<unsigned long long>(hash.high64),
                 static_cast<unsigned long long>(hash.low64));
   return out;
@@ -19,7 +19,7 @@
 void AcceptedChanges::Add(const std::string& digest, std::int64_t version) {
   changes_.insert({digest, version});
   auto& by_version = changes_.get<ByVersion>();
-  while (by_version.size() > kMostKept) {
+  while (by_version.size() > kMaxEntries) {
     horizon_ = by_version.begin()->version;
     by_version.erase(by_version.begin());
   }
@@ -29,7 +29,7 @@
 
 std::map<std::string, std::int64_t> AcceptedChanges::Save() const {
   std::map<std::string, std::int64_t> saved;
-  for (const Taken& taken : changes_) saved[taken.digest] = taken.version;
+  for (const Entry& entry : changes_) saved[entry.digest] = entry.version;
   return saved;
 }
 
--- /dev/null
+++ b/src/control/configuration/document_patch.hpp
@@ -0,0 +1,19 @@
+// Applies a patch to the operator's document, keeping the order of its fields and the fields unknown here.
+#ifndef VIOLETWING_CONTROL_CONFIGURATION_DOCUMENT_PATCH_HPP_
+#define VIOLETWING_CONTROL_CONFIGURATION_DOCUMENT_PATCH_HPP_
+
+#include <nlohmann/json.hpp>
+#include <optional>
+
+#include "control/configuration/finding.hpp"
+
+namespace violetwing::configuration {
+
+/// Removes what `delete` of the patch names, then replaces and adds the items of `upsert` by name
+/// (PROTOCOL.md, "The operator's API"). Returns a finding, with its path in the patch, if the patch is not
+/// well-formed; `document` may then be partly changed.
+std::optional<Finding> ApplyToDocument(nlohmann::ordered_json& document, const nlohmann::ordered_json& patch);
+
+}  // namespace violetwing::configuration
+
+#endif  // VIOLETWING_CONTROL_CONFIGURATION_DOCUMENT_PATCH_HPP_
--- /dev/null
+++ b/src/control/configuration/message_patch.cpp
@@ -0,0 +1,77 @@
+#include "control/configuration/message_patch.hpp"
+
+#include <algorithm>
+#include <set>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+
+#include "control/configuration/parser.hpp"
+#include "generated/configuration.pb.h"
+
+namespace violetwing::configuration {
+namespace {
+
+using Json = nlohmann::ordered_json;
+
+constexpr const char* kRoutes = "routes";
+constexpr const char* kBackends = "backends";
+constexpr const char* kLimits = "limits";
+
+// Whether a patch holds only what can be merged into the message item by item.
+bool IsMergeable(const Json& upsert) {
+  for (const auto& [key, items] : upsert.items()) {
+    const bool is_list = key == kRoutes || key == kBackends;
+    if (is_list ? !items.is_array() : key != kLimits || !items.is_object()) return false;
+  }
+  return true;
+}
+
+template <class Item>
+void Remove(google::protobuf::RepeatedPtrField<Item>& list, const Json& names) {
+  std::set<std::string> removed;
+  for (const Json& name : names) removed.insert(name.get<std::string>());
+  if (removed.empty()) return;
+  const auto end = std::remove_if(list.begin(), list.end(),
+                                  [&](const Item& item) { return removed.count(item.name()) > 0; });
+  list.DeleteSubrange(static_cast<int>(end - list.begin()), static_cast<int>(list.end() - end));
+}
+
+template <class Item>
+void Upsert(google::protobuf::RepeatedPtrField<Item>& list,
+            const google::protobuf::RepeatedPtrField<Item>& items) {
+  if (items.empty()) return;
+  std::unordered_map<std::string_view, int> indexes;
+  indexes.reserve(static_cast<std::size_t>(list.size()) + static_cast<std::size_t>(items.size()));
+  for (int i = 0; i < list.size(); ++i) indexes.emplace(list.Get(i).name(), i);
+  for (const Item& item : items) {
+    const auto [entry, added] = indexes.emplace(item.name(), list.size());
+    if (added)
+      *list.Add() = item;
+    else
+      *list.Mutable(entry->second) = item;
+  }
+}
+
+}  // namespace
+
+bool ApplyToMessage(proto::Configuration& message, const Json& patch) {
+  if (!patch.is_object() || !patch.contains("version")) return false;
+  const Json upsert = patch.value("upsert", Json::object());
+  const Json remove = patch.value("delete", Json::object());
+  if (!IsMergeable(upsert)) return false;
+  Json items = upsert;
+  items["version"] = patch.at("version");
+  proto::Configuration changed;
+  // The findings come from parsing the whole document, which gives their paths.
+  if (ParseMessage(items.dump(), changed)) return false;
+  message.set_version(changed.version());
+  Remove(*message.mutable_routes(), remove.value(kRoutes, Json::array()));
+  Remove(*message.mutable_backends(), remove.value(kBackends, Json::array()));
+  Upsert(*message.mutable_routes(), changed.routes());
+  Upsert(*message.mutable_backends(), changed.backends());
+  if (changed.has_limits()) *message.mutable_limits() = changed.limits();
+  return true;
+}
+
+}  // namespace violetwing::configuration
--- a/src/control/configuration/recent_patches.cpp
+++ b/src/control/configuration/recent_patches.cpp
@@ -10,7 +10,7 @@
   if (!patches_.empty() && patches_.back().version != base) Clear();
   bytes_ += patch.size();
   patches_.push_back({base, version, std::move(patch)});
-  while (bytes_ > kMostBytes) {
+  while (bytes_ > kMaxBytes) {
     bytes_ -= patches_.front().text.size();
     patches_.pop_front();
   }
@@ -25,10 +25,10 @@
   const auto first = std::find_if(patches_.begin(), patches_.end(),
                                   [&](const Patch& patch) { return patch.base == version; });
   if (first == patches_.end()) return std::nullopt;
-  std::vector<std::string> out;
-  std::transform(first, patches_.end(), std::back_inserter(out),
+  std::vector<std::string> patches;
+  std::transform(first, patches_.end(), std::back_inserter(patches),
                  [](const Patch& patch) { return patch.text; });
-  return out;
+  return patches;
 }
 
 }  // namespace violetwing::configuration
--- a/src/control/configuration/recent_patches.hpp
+++ b/src/control/configuration/recent_patches.hpp
@@ -1,6 +1,6 @@
 // The latest patches of the configuration, so that a sidecar that holds a recent version is sent what changed
-// since in place of the whole document. A cache of one process: it is in no snapshot, and after a restart it
-// holds what the log has led to since.
+// since instead of the whole document. A cache of one process: it is not part of snapshots, and after a
+// restart it holds the patches that were applied since.
 #ifndef VIOLETWING_CONTROL_CONFIGURATION_RECENT_PATCHES_HPP_
 #define VIOLETWING_CONTROL_CONFIGURATION_RECENT_PATCHES_HPP_
 
@@ -13,16 +13,17 @@
 
 namespace violetwing::configuration {
 
+/// A sequence of patches, each of which builds upon the version of the one before. Not thread-safe.
 class RecentPatches {
  public:
-  // Bytes of all patches that are kept. A whole document has up to some hundred kB.
-  static constexpr std::size_t kMostBytes = std::size_t{64} * 1024;
+  /// Total size of the patches kept. A whole document has up to some hundred kB.
+  static constexpr std::size_t kMaxBytes = std::size_t{64} * 1024;
 
-  // `patch` led from version `base` to `version`.
+  /// `patch` led from version `base` to `version`.
   void Add(std::int64_t base, std::int64_t version, std::string patch);
-  // The latest version came by other means than a patch.
+  /// The latest version was not the result of a patch.
   void Clear();
-  // What leads from `version` to the latest one, in that order; nothing if not all of it is kept.
+  /// The patches that lead from `version` to the latest one, in order; `nullopt` if one of them is not kept.
   std::optional<std::vector<std::string>> Since(std::int64_t version) const;
 
  private:
--- a/src/control/configuration/state.hpp
+++ b/src/control/configuration/state.hpp
@@ -1,8 +1,8 @@
-// The replicated state of the shard that holds the configuration: its versions one after the other. Commands
-// are applied in the order of the log and decide alike on every replica.
+// The replicated state machine of the shard that holds the configuration: one version after the other.
 #ifndef VIOLETWING_CONTROL_CONFIGURATION_STATE_HPP_
 #define VIOLETWING_CONTROL_CONFIGURATION_STATE_HPP_
 
+#include <cstddef>
 #include <cstdint>
 #include <memory>
 #include <nlohmann/json.hpp>
@@ -17,45 +17,53 @@
 
 namespace violetwing::configuration {
 
+/// Changes are applied in the order of the log and have the same outcome on every replica. Not thread-safe.
 class State {
  public:
-  // A change that was taken before is taken again, also after later ones. One that builds upon a version
-  // below the horizon of what is remembered is never refused: it may have been taken.
-  Answer Apply(const Change& change);
+  /// Applies a change (RULES.md, "Configuration"). A change that was accepted before is accepted again
+  /// without effect, also after later ones. One that builds upon a version below the horizon of the accepted
+  /// changes is never refused, since it may have been accepted: its status is `kUnknown`.
+  ChangeOutcome Apply(const Change& change);
 
+  /// The version in force; 0 before the first.
   std::int64_t version() const { return version_; }
-  // As the operator sent it, with later patches worked in; empty before the first.
+  /// The document as the operator sent it, with later patches applied; empty before the first.
   const std::string& document() const { return document_; }
+  /// The configuration in force; null before the first.
   std::shared_ptr<const Configuration> current() const { return current_; }
 
-  // The patches that lead from `version` to the one in force, for `ReadPatched`; nothing if they are not at
-  // hand, or are longer than the document.
+  /// The patches that lead from `version` to the one in force, for `ReadPatched`; `nullopt` if they are not
+  /// kept, or are no shorter than the document.
   std::optional<std::vector<std::string>> PatchesSince(std::int64_t version) const;
 
-  // Bytes of documents that Apply has worked through since this was made.
-  std::size_t worked() const { return worked_; }
+  /// Total size of the documents that `Apply` has processed.
+  std::size_t processed_bytes() const { return processed_bytes_; }
 
+  /// The snapshot, as JSON.
   std::string Save() const;
+  /// Restores a snapshot, also of earlier versions of this program. Throws `nlohmann::json::exception` if it
+  /// cannot be read.
   void Load(const std::string& saved);
 
  private:
-  void Take(std::string document, ReadResult read);
-  struct Worked {
-    std::string text;
+  // A document that a change leads to, not yet in force.
+  struct Candidate {
+    std::string document;
     ReadResult read;
-    bool by_items = false;  // only the patch's own items were read
+    bool read_by_patch = false;  // only the patch was parsed
   };
-  // What the change makes of the document, left in `items_` too.
-  Worked Work(const Change& change, nlohmann::ordered_json sent);
+  // Leaves the candidate's document in `json_` too.
+  Candidate MakeCandidate(const Change& change, nlohmann::ordered_json body);
+  void Install(std::string document, ReadResult read);
 
   std::int64_t version_ = 0;
   std::string document_;
-  nlohmann::ordered_json items_ = nlohmann::ordered_json::object();  // the document, read: reading it anew is
-                                                                     // a third of the cost of a patch
+  // `document_` parsed: parsing it anew is a third of the cost of a patch.
+  nlohmann::ordered_json json_ = nlohmann::ordered_json::object();
   std::shared_ptr<const Configuration> current_;
   std::shared_ptr<const proto::Configuration> message_;
-  std::size_t worked_ = 0;
-  AcceptedChanges taken_;
+  std::size_t processed_bytes_ = 0;
+  AcceptedChanges accepted_;
   RecentPatches patches_;
 };
 
--- /dev/null
+++ b/src/control/configuration/validator.cpp
@@ -0,0 +1,166 @@
+#include "control/configuration/validator.hpp"
+
+#include <set>
+#include <string>
+#include <utility>
+
+#include "generated/configuration.pb.h"
+
+namespace violetwing::configuration {
+namespace {
+
+std::string At(const char* list, int index, const char* field) {
+  return std::string(list) + "[" + std::to_string(index) + "]." + field;
+}
+
+// Checks one document and builds the configuration from it.
+class Validator {
+ public:
+  explicit Validator(const proto::Configuration& in) : in_(in) {}
+
+  ValidationResult Run() {
+    if (in_.version() <= 0) Report(FindingCode::kOutOfRange, "version", "must be above 0");
+    for (int i = 0; i < in_.backends_size(); ++i) AddBackend(i);
+    for (int i = 0; i < in_.routes_size(); ++i) AddRoute(i);
+    SetLimits();
+    if (!findings_.empty()) return {nullptr, std::move(findings_)};
+    out_.version = in_.version();
+    return {std::make_shared<const Configuration>(std::move(out_)), {}};
+  }
+
+ private:
+  void Report(FindingCode code, std::string path, std::string message) {
+    findings_.push_back({code, std::move(path), std::move(message)});
+  }
+
+  void AddBackend(int index) {
+    const proto::Backend& in = in_.backends(index);
+    if (in.name().empty()) Report(FindingCode::kMissing, At("backends", index, "name"), "is missing");
+    if (!backend_names_.insert(in.name()).second)
+      Report(FindingCode::kDuplicate, At("backends", index, "name"), "stands twice: " + in.name());
+    if (in.max_connections() < 0)
+      Report(FindingCode::kOutOfRange, At("backends", index, "max_connections"), "must not be negative");
+    Backend out{in.name(), in.health_check(), in.max_connections(), nullptr};
+    if (in.has_runtime()) out.runtime = MakeRuntime(in.runtime(), index);
+    out_.backends.push_back(std::move(out));
+  }
+
+  std::shared_ptr<const Runtime> MakeRuntime(const proto::Runtime& in, int index) {
+    auto out = std::make_shared<Runtime>();
+    out->capacity = in.capacity() > 0 ? in.capacity() : 1;
+    out->kv_cache_tokens = in.kv_cache_tokens();
+    out->weights_mb = in.weights_mb();
+    out->max_adapters = in.max_adapters();
+    out->loads_per_s = in.loads_per_s();
+    std::set<std::string> names;
+    for (const proto::Model& model : in.models()) {
+      if (model.name().empty() || !names.insert(model.name()).second)
+        Report(model.name().empty() ? FindingCode::kMissing : FindingCode::kDuplicate,
+               At("backends", index, "runtime.models"), "a name is missing or stands twice: " + model.name());
+      if (model.weights_mb() < 0 || model.load_time_s() < 0 || model.adapters() < 0)
+        Report(FindingCode::kOutOfRange, At("backends", index, "runtime.models"),
+               "negative figure of " + model.name());
+      out->models.push_back(
+          {model.name(), model.weights_mb(), model.load_time_s(), model.adapters(), model.adapter_size_mb()});
+    }
+    return out;
+  }
+
+  void AddRoute(int index) {
+    const proto::Route& in = in_.routes(index);
+    CheckRoute(in, index);
+    Route out = CopyRoute(in);
+    SetType(in.type(), index, out);
+    SetShares(in, index, out);
+    out_.routes.push_back(std::move(out));
+  }
+
+  void CheckRoute(const proto::Route& in, int index) {
+    if (in.name().empty()) Report(FindingCode::kMissing, At("routes", index, "name"), "is missing");
+    if (!route_names_.insert(in.name()).second)
+      Report(FindingCode::kDuplicate, At("routes", index, "name"), "stands twice: " + in.name());
+    if (in.path_prefix().empty() || in.path_prefix().front() != '/')
+      Report(FindingCode::kOutOfRange, At("routes", index, "path_prefix"), "must begin with a slash");
+    if (!path_prefixes_.emplace(in.hostname(), in.path_prefix()).second)
+      Report(FindingCode::kDuplicate, At("routes", index, "path_prefix"),
+             "another route has the same host and prefix");
+    if (!(in.timeout_ms() > 0))
+      Report(FindingCode::kOutOfRange, At("routes", index, "timeout_ms"), "must be above 0");
+    if (in.max_attempts() < 0)
+      Report(FindingCode::kOutOfRange, At("routes", index, "max_attempts"), "must not be negative");
+  }
+
+  // The fields that need no check but a default.
+  static Route CopyRoute(const proto::Route& in) {
+    Route out;
+    out.name = in.name();
+    out.hostname = in.hostname();
+    out.path_prefix = in.path_prefix();
+    out.timeout_ms = in.timeout_ms();
+    out.target_latency_ms = in.target_latency_ms();
+    out.priority = in.priority();
+    out.max_attempts = in.max_attempts() > 0 ? in.max_attempts() : 1;
+    out.session_affinity = in.session_affinity();
+    out.resumable = in.resumable();
+    out.gap_aim_ms = in.gap_aim_ms();
+    return out;
+  }
+
+  void SetType(const std::string& type, int index, Route& out) {
+    if (type == "idempotent")
+      out.type = RouteType::kIdempotent;
+    else if (type == "streaming")
+      out.type = RouteType::kStreaming;
+    else if (type == "non_idempotent")
+      out.type = RouteType::kNonIdempotent;
+    else
+      Report(FindingCode::kUnknownValue, At("routes", index, "type"), "is not known: " + type);
+  }
+
+  void SetShares(const proto::Route& in, int index, Route& out) {
+    if (in.traffic_split_size() == 0) {
+      if (backend_names_.count(in.backend()) == 0)
+        Report(FindingCode::kUnknownReference, At("routes", index, "backend"),
+               "names no service: " + in.backend());
+      out.shares.push_back({in.backend(), 1});
+      return;
+    }
+    double weights = 0;
+    for (const proto::Share& share : in.traffic_split()) {
+      if (backend_names_.count(share.backend()) == 0)
+        Report(FindingCode::kUnknownReference, At("routes", index, "traffic_split"),
+               "names no service: " + share.backend());
+      if (!(share.weight() >= 0))
+        Report(FindingCode::kOutOfRange, At("routes", index, "traffic_split"), "a weight is negative");
+      weights += share.weight();
+      out.shares.push_back({share.backend(), share.weight()});
+    }
+    if (!(weights > 0))
+      Report(FindingCode::kOutOfRange, At("routes", index, "traffic_split"), "the weights add up to 0");
+  }
+
+  void SetLimits() {
+    if (!in_.has_limits()) return;
+    const proto::Limits& in = in_.limits();
+    if (in.max_header_bytes() < 0 || in.max_body_bytes() < 0 || in.header_timeout_ms() < 0 ||
+        in.idle_timeout_ms() < 0)
+      Report(FindingCode::kOutOfRange, "limits", "must not be negative");
+    if (in.max_header_bytes() > 0) out_.limits.max_header_bytes = in.max_header_bytes();
+    if (in.max_body_bytes() > 0) out_.limits.max_body_bytes = in.max_body_bytes();
+    if (in.header_timeout_ms() > 0) out_.limits.header_timeout_ms = in.header_timeout_ms();
+    if (in.idle_timeout_ms() > 0) out_.limits.idle_timeout_ms = in.idle_timeout_ms();
+  }
+
+  const proto::Configuration& in_;
+  Configuration out_;
+  std::vector<Finding> findings_;
+  std::set<std::string> backend_names_;
+  std::set<std::string> route_names_;
+  std::set<std::pair<std::string, std::string>> path_prefixes_;  // with their hostnames
+};
+
+}  // namespace
+
+ValidationResult Validate(const proto::Configuration& message) { return Validator(message).Run(); }
+
+}  // namespace violetwing::configuration
--- a/src/control/control_core.cpp
+++ b/src/control/control_core.cpp
@@ -167,7 +167,7 @@
 void ControlCore::Change(const configuration::Change& change, Micros now, const OnChanged& done) {
   now_ = now;
   if (Isolated()) return done(std::nullopt);
-  shards_.SubmitChange(change, now, [done](const Result<configuration::Answer>& answer) {
+  shards_.SubmitChange(change, now, [done](const Result<configuration::ChangeOutcome>& answer) {
     done(answer ? std::optional(answer.value()) : std::nullopt);
   });
   Flush();
--- a/src/control/control_core.hpp
+++ b/src/control/control_core.hpp
@@ -40,7 +40,7 @@
     std::string document;
   };
   using OnTaken = std::function<void(Taken)>;
-  using OnChanged = std::function<void(const std::optional<configuration::Answer>&)>;
+  using OnChanged = std::function<void(const std::optional<configuration::ChangeOutcome>&)>;
   using OnRead = std::function<void(const std::optional<ConfigurationRead>&)>;
   using OnWatched = std::function<void(const std::optional<WatchReply>&)>;
 
--- a/src/control/replication/commands.cpp
+++ b/src/control/replication/commands.cpp
@@ -58,7 +58,7 @@
   wire::ConfigurationCommand message;
   if (const auto* change = std::get_if<configuration::Change>(&command)) {
     message.mutable_change()->set_patch(change->patch);
-    message.mutable_change()->set_base(change->base);
+    message.mutable_change()->set_base(change->base_version);
     message.mutable_change()->set_body(change->body);
   } else {
     message.set_read(true);
--- a/src/control/replication/shard_state_machines.cpp
+++ b/src/control/replication/shard_state_machines.cpp
@@ -14,13 +14,13 @@
   const std::optional<ConfigurationCommand> decoded = DecodeConfigurationCommand(command);
   const auto* change = decoded ? std::get_if<configuration::Change>(&*decoded) : nullptr;
   if (change == nullptr) return {};
-  const configuration::Answer answer = state_.Apply(*change);
-  return json{{"outcome", answer.outcome}, {"version", answer.version}, {"problem", answer.problem}}.dump();
+  const configuration::ChangeOutcome outcome = state_.Apply(*change);
+  return json{{"outcome", outcome.status}, {"version", outcome.version}, {"problem", outcome.message}}.dump();
 }
 
-configuration::Answer ConfigurationStateMachine::DecodeAnswer(const std::string& answer) {
+configuration::ChangeOutcome ConfigurationStateMachine::DecodeAnswer(const std::string& answer) {
   const json decoded = json::parse(answer);
-  return {decoded.at("outcome").get<configuration::Outcome>(), decoded.at("version").get<std::int64_t>(),
+  return {decoded.at("outcome").get<configuration::ChangeStatus>(), decoded.at("version").get<std::int64_t>(),
           decoded.at("problem").get<std::string>()};
 }
 
--- a/src/control/replication/shard_state_machines.hpp
+++ b/src/control/replication/shard_state_machines.hpp
@@ -21,10 +21,10 @@
   std::string Apply(const std::string& command) override;
   std::string Save() const override { return state_.Save(); }
   void Load(const std::string& saved) override { state_.Load(saved); }
-  std::size_t worked() const override { return state_.worked(); }
+  std::size_t worked() const override { return state_.processed_bytes(); }
 
   /// Reads what Apply has answered to a change.
-  static configuration::Answer DecodeAnswer(const std::string& answer);
+  static configuration::ChangeOutcome DecodeAnswer(const std::string& answer);
 
  private:
   configuration::State& state_;
--- a/src/control/replication/shards.hpp
+++ b/src/control/replication/shards.hpp
@@ -46,7 +46,7 @@
     std::map<int, consensus::StoredState> shards;
   };
 
-  using ChangeCallback = std::function<void(const Result<configuration::Answer>&)>;
+  using ChangeCallback = std::function<void(const Result<configuration::ChangeOutcome>&)>;
   using DoneCallback = std::function<void(const Result<void>&)>;
 
   /// `bootstrap_voters` form the first membership of each shard; empty where the disk is not one of them.
--- a/tests/control/configuration/configuration_test.cpp
+++ b/tests/control/configuration/configuration_test.cpp
@@ -30,11 +30,11 @@
       .patch(json::array({{{"op", "replace"}, {"path", "/version"}, {"value", version}}}));
 }
 
-Answer Put(State& state, std::int64_t base, const json& document) {
+ChangeOutcome Put(State& state, std::int64_t base, const json& document) {
   return state.Apply({false, base, document.dump()});
 }
 
-Answer PatchWith(State& state, std::int64_t base, const json& patch) {
+ChangeOutcome PatchWith(State& state, std::int64_t base, const json& patch) {
   return state.Apply({true, base, patch.dump()});
 }
 
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-TEST_CASE("A configuration is read with its types, unknown fields are passed over") {
+TEST_CASE("Reading a configuration converts all fields and ignores unknown ones") {
   const ReadResult read = Read(Document(3).dump());
   REQUIRE(read.configuration != nullptr);
   CHECK(read.configuration->version == 3);
@@ -54,7 +54,7 @@
   CHECK(read.configuration->limits.max_body_bytes == 1000);
 }
 
-TEST_CASE("All findings are reported together, each with its place") {
+TEST_CASE("All findings are reported together, each with its path") {
   json document = Document(3);
   document["routes"][0]["backend"] = "nobody";
   document["routes"][0]["timeout_ms"] = 0;
@@ -68,48 +68,66 @@
   CHECK(text.find("routes[1].traffic_split: the weights add up to 0") != std::string::npos);
 }
 
-TEST_CASE("What cannot be read whole is invalid") {
+TEST_CASE("Each finding has the code of its kind") {
+  json document = Document(3);
+  document["routes"][0]["backend"] = "nobody";
+  document["routes"][0]["timeout_ms"] = 0;
+  document["routes"][1]["path_prefix"] = "/x/";
+  document["routes"][1]["type"] = "unheard of";
+  document["backends"][1]["runtime"]["models"][0]["name"] = "";
+  std::vector<FindingCode> codes;
+  for (const Finding& finding : FindingsOf(document)) codes.push_back(finding.code);
+  CHECK(codes == std::vector<FindingCode>{FindingCode::kMissing, FindingCode::kOutOfRange,
+                                          FindingCode::kUnknownReference, FindingCode::kDuplicate,
+                                          FindingCode::kUnknownValue});
+  REQUIRE(Read("{").findings.size() == 1);
+  CHECK(Read("{").findings[0].code == FindingCode::kUnreadable);
+}
+
+TEST_CASE("A truncated document is invalid") {
   const std::string whole = Document(3).dump();
   State state;
   for (std::size_t size = 0; size + 1 < whole.size(); size += 97)
-    CHECK(state.Apply({false, 0, whole.substr(0, size)}).outcome == Outcome::kInvalid);
+    CHECK(state.Apply({false, 0, whole.substr(0, size)}).status == ChangeStatus::kInvalid);
   CHECK(state.version() == 0);
 }
 
-TEST_CASE("Versions rise, and a change builds on the version in force") {
+TEST_CASE("Versions increase, and a change must build upon the version in force") {
   State state;
-  CHECK(Put(state, 0, Document(3)).outcome == Outcome::kTaken);
-  CHECK(Put(state, 0, Document(5)).outcome == Outcome::kConflict);
-  CHECK(Put(state, 3, Document(3)).outcome == Outcome::kInvalid);
-  CHECK(Put(state, 3, Document(2)).outcome == Outcome::kInvalid);
-  CHECK(Put(state, 3, Document(9)).outcome == Outcome::kTaken);
+  CHECK(Put(state, 0, Document(3)).status == ChangeStatus::kAccepted);
+  CHECK(Put(state, 0, Document(5)).status == ChangeStatus::kVersionConflict);
+  CHECK(Put(state, 3, Document(3)).status == ChangeStatus::kInvalid);
+  CHECK(Put(state, 3, Document(2)).status == ChangeStatus::kInvalid);
+  CHECK(Put(state, 3, Document(9)).status == ChangeStatus::kAccepted);
   CHECK(state.version() == 9);
 }
 
-TEST_CASE("Of two changes on one version with one number, one is taken, and it alone is acknowledged again") {
+TEST_CASE(
+    "Of two changes of one version to the same new version, one is accepted and acknowledged when repeated") {
   State state;
-  REQUIRE(Put(state, 0, Document(3)).outcome == Outcome::kTaken);
+  REQUIRE(Put(state, 0, Document(3)).status == ChangeStatus::kAccepted);
   json first = Document(5);
   json second = Document(5);
   second["routes"][0]["timeout_ms"] = 777;
-  CHECK(Put(state, 3, first).outcome == Outcome::kTaken);
-  CHECK(Put(state, 3, second).outcome == Outcome::kConflict);
-  CHECK(Put(state, 3, first).outcome == Outcome::kTaken);
-  CHECK(Put(state, 5, Document(8)).outcome == Outcome::kTaken);
-  CHECK(Put(state, 3, first).outcome == Outcome::kTaken);  // taken long ago, and acknowledged once more
+  CHECK(Put(state, 3, first).status == ChangeStatus::kAccepted);
+  CHECK(Put(state, 3, second).status == ChangeStatus::kVersionConflict);
+  CHECK(Put(state, 3, first).status == ChangeStatus::kAccepted);
+  CHECK(Put(state, 5, Document(8)).status == ChangeStatus::kAccepted);
+  // Accepted long ago, and acknowledged once more.
+  CHECK(Put(state, 3, first).status == ChangeStatus::kAccepted);
   CHECK(state.version() == 8);
 }
 
-TEST_CASE("A patch adds, replaces and removes items by name, and the rest stays as it was sent") {
+TEST_CASE("A patch adds, replaces and removes items by name, and leaves the rest as it was sent") {
   State state;
-  REQUIRE(Put(state, 0, Document(3)).outcome == Outcome::kTaken);
+  REQUIRE(Put(state, 0, Document(3)).status == ChangeStatus::kAccepted);
   json route = Document(3)["routes"][0];
   route["name"] = "r3";
   route["path_prefix"] = "/z/";
   const json patch{{"version", 4},
                    {"upsert", {{"routes", json::array({route})}}},
                    {"delete", {{"routes", json::array({"r1", "never there"})}}}};
-  CHECK(PatchWith(state, 3, patch).outcome == Outcome::kTaken);
+  CHECK(PatchWith(state, 3, patch).status == ChangeStatus::kAccepted);
   const json now = json::parse(state.document());
   CHECK(now["version"] == 4);
   REQUIRE(now["routes"].size() == 2);
@@ -118,9 +136,9 @@
   CHECK(now["backends"] == Document(3)["backends"]);
 }
 
-TEST_CASE("A patch that makes no sense changes nothing") {
+TEST_CASE("An invalid patch changes nothing") {
   State state;
-  REQUIRE(Put(state, 0, Document(3)).outcome == Outcome::kTaken);
+  REQUIRE(Put(state, 0, Document(3)).status == ChangeStatus::kAccepted);
   const std::string before = state.document();
   for (const char* patch :
        {R"([])", R"({"upsert": {}})", R"({"version": 4, "upsert": []})",
@@ -128,83 +146,88 @@
         R"({"version": 4, "delete": {"backends": ["s1"]}})", R"({"version": 3, "upsert": {}})",
         R"({"version": 4, "delete": {"routes": [7]}})",
         R"({"version": 4, "upsert": {"version": [{"name": "x"}]}})"}) {
-    CHECK(state.Apply({true, 3, patch}).outcome == Outcome::kInvalid);
+    CHECK(state.Apply({true, 3, patch}).status == ChangeStatus::kInvalid);
     CHECK(state.document() == before);
   }
 }
 
-TEST_CASE("A saved state is whole again, the changes that were taken included") {
+TEST_CASE("Loading a snapshot restores the state with its accepted changes") {
   State state;
-  REQUIRE(Put(state, 0, Document(3)).outcome == Outcome::kTaken);
-  REQUIRE(Put(state, 3, Document(5)).outcome == Outcome::kTaken);
+  REQUIRE(Put(state, 0, Document(3)).status == ChangeStatus::kAccepted);
+  REQUIRE(Put(state, 3, Document(5)).status == ChangeStatus::kAccepted);
   State loaded;
   loaded.Load(state.Save());
   CHECK(loaded.version() == 5);
   CHECK(loaded.document() == state.document());
   REQUIRE(loaded.current() != nullptr);
-  CHECK(Put(loaded, 0, Document(3)).outcome == Outcome::kTaken);
+  CHECK(Put(loaded, 0, Document(3)).status == ChangeStatus::kAccepted);
   CHECK(loaded.version() == 5);
 }
 
 namespace {
 
-constexpr std::int64_t kMostKept = AcceptedChanges::kMostKept;
+constexpr std::int64_t kMaxEntries = AcceptedChanges::kMaxEntries;
 
-// A small one, with nothing but a version.
-json Small(std::int64_t version) {
+// The smallest document of a version.
+json MinimalDocument(std::int64_t version) {
   return {{"version", version}, {"routes", json::array()}, {"backends", json::array()}};
 }
 
-// Takes the changes that lead to the versions 1 to `last`.
-void TakeMany(State& state, std::int64_t last) {
+// Applies the changes that lead to the versions 1 to `last`.
+void ApplyMany(State& state, std::int64_t last) {
   for (std::int64_t version = state.version() + 1; version <= last; ++version)
-    REQUIRE(Put(state, version - 1, Small(version)).outcome == Outcome::kTaken);
+    REQUIRE(Put(state, version - 1, MinimalDocument(version)).status == ChangeStatus::kAccepted);
 }
 
 }  // namespace
 
-TEST_CASE("A change that is sent again after hundreds of others is acknowledged, and its rival is refused") {
+TEST_CASE(
+    "A change repeated after hundreds of others is acknowledged, another one on its version is a conflict") {
   State state;
-  TakeMany(state, 900);
-  CHECK(Put(state, 4, Small(5)).outcome == Outcome::kTaken);
-  CHECK(Put(state, 4, Small(6)).outcome == Outcome::kConflict);
+  ApplyMany(state, 900);
+  CHECK(Put(state, 4, MinimalDocument(5)).status == ChangeStatus::kAccepted);
+  CHECK(Put(state, 4, MinimalDocument(6)).status == ChangeStatus::kVersionConflict);
   CHECK(state.version() == 900);
 }
 
-TEST_CASE("Of a change older than what is remembered nothing is said, least of all a refusal") {
+TEST_CASE("The status of a change older than the accepted changes kept is unknown, never a refusal") {
   State state;
-  TakeMany(state, kMostKept + 10);
-  CHECK(Put(state, 9, Small(10)).outcome == Outcome::kUnknown);    // was taken, and is forgotten
-  CHECK(Put(state, 9, Small(11)).outcome == Outcome::kUnknown);    // was never sent
-  CHECK(Put(state, 10, Small(11)).outcome == Outcome::kTaken);     // the oldest that is remembered
-  CHECK(Put(state, 10, Small(12)).outcome == Outcome::kConflict);  // its rival
+  ApplyMany(state, kMaxEntries + 10);
+  // Accepted, and forgotten.
+  CHECK(Put(state, 9, MinimalDocument(10)).status == ChangeStatus::kUnknown);
+  // Never sent.
+  CHECK(Put(state, 9, MinimalDocument(11)).status == ChangeStatus::kUnknown);
+  // The oldest that is kept, and another one on the same version.
+  CHECK(Put(state, 10, MinimalDocument(11)).status == ChangeStatus::kAccepted);
+  CHECK(Put(state, 10, MinimalDocument(12)).status == ChangeStatus::kVersionConflict);
   State loaded;
   loaded.Load(state.Save());
-  CHECK(Put(loaded, 9, Small(10)).outcome == Outcome::kUnknown);
-  CHECK(Put(loaded, 10, Small(11)).outcome == Outcome::kTaken);
-  CHECK(Put(loaded, 10, Small(12)).outcome == Outcome::kConflict);
+  CHECK(Put(loaded, 9, MinimalDocument(10)).status == ChangeStatus::kUnknown);
+  CHECK(Put(loaded, 10, MinimalDocument(11)).status == ChangeStatus::kAccepted);
+  CHECK(Put(loaded, 10, MinimalDocument(12)).status == ChangeStatus::kVersionConflict);
 }
 
-TEST_CASE("A snapshot does not grow with the changes that are forgotten") {
+TEST_CASE("The size of a snapshot is bounded, whatever the number of changes") {
   constexpr std::size_t kMost = std::size_t{52} * 1024;
   State state;
-  TakeMany(state, 1'000);
+  ApplyMany(state, 1'000);
   CHECK(state.Save().size() < kMost);
-  TakeMany(state, 100'000);
+  ApplyMany(state, 100'000);
   CHECK(state.Save().size() < kMost);
 }
 
-TEST_CASE("What an earlier version has stored, with every change ever taken, is read and bounded") {
+TEST_CASE(
+    "A snapshot of an earlier version, with an unbounded number of accepted changes, is read and bounded") {
   State state;
-  TakeMany(state, kMostKept);
+  ApplyMany(state, kMaxEntries);
   json saved = json::parse(state.Save());
   saved.erase("horizon");
   for (std::int64_t version = 1; version <= 20; ++version)  // older ones, which it kept too
     saved["taken"][DigestOf({false, 0, "old " + std::to_string(version)})] = -version;
   State loaded;
   loaded.Load(saved.dump());
-  CHECK(Put(loaded, 0, Small(1)).outcome == Outcome::kTaken);
-  CHECK(json::parse(loaded.Save())["taken"].size() == static_cast<std::size_t>(kMostKept));
+  CHECK(Put(loaded, 0, MinimalDocument(1)).status == ChangeStatus::kAccepted);
+  CHECK(json::parse(loaded.Save())["taken"].size() == static_cast<std::size_t>(kMaxEntries));
 }
 
 namespace {
@@ -238,7 +261,7 @@
   return patch;
 }
 
-// Of the fields that a patch may change.
+// The fields that a patch may change.
 std::string Describe(const Configuration& configuration) {
   std::string out = std::to_string(configuration.version);
   for (const Route& route : configuration.routes) {
@@ -253,28 +276,28 @@
 
 }  // namespace
 
-TEST_CASE("What a patch leads to, read item by item, is what its document says, read whole") {
+TEST_CASE("Reading only the patch gives the same configuration as reading the patched document") {
   Random random(1);
-  int taken = 0;
+  int accepted = 0;
   int invalid = 0;
   for (int round = 0; round < 60; ++round) {
     State state;
     json first{{"version", 1}, {"routes", json::array()}, {"backends", json::array()}};
     for (int i = 0; i < 4; ++i) first["backends"].push_back({{"name", "s" + std::to_string(i)}});
-    REQUIRE(Put(state, 0, first).outcome == Outcome::kTaken);
+    REQUIRE(Put(state, 0, first).status == ChangeStatus::kAccepted);
     for (std::int64_t version = 2; version < 60; ++version) {
       const json patch = PatchOf(random, version);
       const std::string before = state.document();
-      const Outcome outcome = PatchWith(state, state.version(), patch).outcome;
-      REQUIRE(outcome != Outcome::kConflict);
-      (outcome == Outcome::kTaken ? taken : invalid) += 1;
+      const ChangeStatus status = PatchWith(state, state.version(), patch).status;
+      REQUIRE(status != ChangeStatus::kVersionConflict);
+      (status == ChangeStatus::kAccepted ? accepted : invalid) += 1;
       const ReadResult read = Read(state.document());
       REQUIRE(read.configuration != nullptr);
       REQUIRE(Describe(*state.current()) == Describe(*read.configuration));
-      if (outcome != Outcome::kTaken) REQUIRE(state.document() == before);
+      if (status != ChangeStatus::kAccepted) REQUIRE(state.document() == before);
     }
   }
-  CHECK(taken > 1000);
+  CHECK(accepted > 1000);
   CHECK(invalid > 200);
 }
 
--- a/tests/control/configuration/patches_test.cpp
+++ b/tests/control/configuration/patches_test.cpp
@@ -1,4 +1,4 @@
-// What a sidecar is sent of a change of the configuration: the patches since the version that it holds.
+// Recent patches, and how sidecars receive them instead of the whole document.
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-TEST_CASE("Patches are kept from a version on, each built upon the one before") {
+TEST_CASE("Since returns the patches from a version on, each of which builds upon the one before") {
   RecentPatches patches;
   CHECK_FALSE(patches.Since(1));
   patches.Add(1, 2, "a");
@@ -48,32 +48,32 @@
   CHECK_FALSE(patches.Since(7));
 }
 
-TEST_CASE("The oldest patches go first as they outgrow their bound, one that is too long at once") {
+TEST_CASE("The oldest patches are dropped beyond the size limit, and one above it is not kept") {
   RecentPatches patches;
-  const std::string half(RecentPatches::kMostBytes / 2, 'x');
+  const std::string half(RecentPatches::kMaxBytes / 2, 'x');
   for (std::int64_t version = 1; version <= 3; ++version) patches.Add(version, version + 1, half);
   CHECK_FALSE(patches.Since(1));
   CHECK(patches.Since(2)->size() == 2);
-  patches.Add(4, 5, std::string(RecentPatches::kMostBytes + 1, 'x'));
+  patches.Add(4, 5, std::string(RecentPatches::kMaxBytes + 1, 'x'));
   CHECK_FALSE(patches.Since(2));
   CHECK_FALSE(patches.Since(4));
 }
 
-TEST_CASE("A state tells patches while they are shorter than the document, and none across a whole one") {
+TEST_CASE("PatchesSince returns patches shorter than the document, and none across a replaced document") {
   configuration::State state;
-  REQUIRE(state.Apply({false, 0, Document(1)}).outcome == configuration::Outcome::kTaken);
+  REQUIRE(state.Apply({false, 0, Document(1)}).status == configuration::ChangeStatus::kAccepted);
   CHECK_FALSE(state.PatchesSince(0));
-  REQUIRE(state.Apply({true, 1, PatchDocument(2, 2000)}).outcome == configuration::Outcome::kTaken);
+  REQUIRE(state.Apply({true, 1, PatchDocument(2, 2000)}).status == configuration::ChangeStatus::kAccepted);
   CHECK(state.PatchesSince(1) == Texts{PatchDocument(2, 2000)});
-  REQUIRE(state.Apply({true, 2, PatchDocument(3, 0)}).outcome == configuration::Outcome::kInvalid);
+  REQUIRE(state.Apply({true, 2, PatchDocument(3, 0)}).status == configuration::ChangeStatus::kInvalid);
   CHECK(state.PatchesSince(1)->size() == 1);
-  REQUIRE(state.Apply({true, 2, PatchDocument(3, 3000)}).outcome == configuration::Outcome::kTaken);
+  REQUIRE(state.Apply({true, 2, PatchDocument(3, 3000)}).status == configuration::ChangeStatus::kAccepted);
   CHECK(state.PatchesSince(2)->size() == 1);
   CHECK_FALSE(state.PatchesSince(1));  // two are longer than this short document
-  REQUIRE(state.Apply({false, 3, Document(4)}).outcome == configuration::Outcome::kTaken);
+  REQUIRE(state.Apply({false, 3, Document(4)}).status == configuration::ChangeStatus::kAccepted);
   CHECK_FALSE(state.PatchesSince(2));
   CHECK_FALSE(state.PatchesSince(3));
-  REQUIRE(state.Apply({true, 4, PatchDocument(5, 5000)}).outcome == configuration::Outcome::kTaken);
+  REQUIRE(state.Apply({true, 4, PatchDocument(5, 5000)}).status == configuration::ChangeStatus::kAccepted);
   CHECK(state.PatchesSince(4)->size() == 1);
   configuration::State loaded;
   loaded.Load(state.Save());
@@ -82,7 +82,7 @@
   CHECK(TimeoutOf(loaded) == 5000);
 }
 
-TEST_CASE("A sidecar applies patches to the version it holds, and asks for the whole where they do not fit") {
+TEST_CASE("A sidecar applies patches to its version, and requests the whole document if they do not fit") {
   SystemView view("edge");
   CHECK_FALSE(view.NextPull(0, {}).takes_patches);  // it holds nothing yet
   CHECK_FALSE(view.Take(ReplyOf(2, "", {PatchDocument(2, 2000)})));
@@ -103,7 +103,7 @@
   CHECK(view.version() == 5);
 }
 
-TEST_CASE("Cores: a patch is in force at all sidecars without a whole document sent to any") {
+TEST_CASE("Cores: a patch reaches all sidecars without the whole document being sent") {
   constexpr Micros kMost = 10'000'000;
   VirtualSystem system(3, 4, 1);
   const auto change = [&](const std::string& method, std::int64_t base, const std::string& body) {
--- a/tests/control/replication/commands_test.cpp
+++ b/tests/control/replication/commands_test.cpp
@@ -18,7 +18,7 @@
   const auto command = DecodeConfigurationCommand(Encode(ConfigurationCommand(Change{true, 7, bytes})));
   const Change change = std::get<Change>(command.value());
   CHECK(change.patch);
-  CHECK(change.base == 7);
+  CHECK(change.base_version == 7);
   CHECK(change.body == bytes);
   const auto read = DecodeConfigurationCommand(Encode(ConfigurationCommand(ReadCommand{})));
   CHECK(std::holds_alternative<ReadCommand>(read.value()));
@@ -31,7 +31,7 @@
   CHECK(envelope.request_id == "a/1");
   CHECK(std::holds_alternative<ReadCommand>(DecodeConfigurationCommand(envelope.command).value()));
   const auto command = DecodeConfigurationCommand(R"({"patch":false,"base":3,"body":"{}"})");
-  CHECK(std::get<Change>(command.value()).base == 3);
+  CHECK(std::get<Change>(command.value()).base_version == 3);
   const DeregistrationCommand deregistration =
       DecodeDeregistrationCommand(R"({"id":"i-1","phase":"gone"})").value();
   CHECK(deregistration.server_id == "i-1");
