--- a/src/control/control_core.cpp
+++ b/src/control/control_core.cpp
@@ -167,7 +167,7 @@
 void ControlCore::Change(const configuration::Change& change, Micros now, const OnChanged& done) {
   now_ = now;
   if (Isolated()) return done(std::nullopt);
-  shards_.SubmitChange(change, now, [done](const Result<configuration::Answer>& answer) {
+  shards_.SubmitChange(change, now, [done](const Result<configuration::ChangeOutcome>& answer) {
     done(answer ? std::optional(answer.value()) : std::nullopt);
   });
   Flush();
@@ -332,7 +332,7 @@
 void ControlCore::CountDemand(const std::vector<ModelDemand>& demand) {
   if (demand.empty()) return;
   if (shards_.configuration_replica().leader()) {
-    placer_.CountDemand(demand, now_);
+    placer_.RecordDemand(demand, now_);
     const auto waits = [](const ModelDemand& one) { return one.waiting > 0; };
     if (std::any_of(demand.begin(), demand.end(), waits)) TickPlacer();
     return;
