--- a/src/dataplane/edge_service.cpp
+++ b/src/dataplane/edge_service.cpp
@@ -48,8 +48,8 @@
       tick_(io),
       stop_(io) {
   plane_.link = &link_;
-  plane_.load_balancer.SetNear(settings_.zone,
-                               [this](const std::string& id) { return plane_.pool.HasIdle(id); });
+  plane_.load_balancer.SetLocality(settings_.zone,
+                                   [this](const std::string& id) { return plane_.pool.HasIdle(id); });
 }
 
 std::error_code EdgeService::Start(std::string& problem) {
@@ -73,7 +73,7 @@
   ingress_.SetLimits(plane_.directory->limits());
   gossip_.SetNeighbors(link_.neighbors());
   const double told_by = static_cast<double>(std::max<std::size_t>(link_.neighbors().size(), 1));
-  plane_.load_balancer.SetReportWeight(std::max(1.0, (plane_.directory->sidecars() - 1) / told_by));
+  plane_.load_balancer.SetSidecarsPerReport(std::max(1.0, (plane_.directory->sidecars() - 1) / told_by));
   const auto waiting = plane_.waiting;
   for (const auto& forwarder : waiting) forwarder->OnDirectory();
 }
@@ -87,7 +87,7 @@
 }
 
 void EdgeService::Tick() {
-  plane_.load_balancer.Keep(*plane_.directory, SteadyMicros());
+  plane_.load_balancer.RemoveMissing(*plane_.directory, SteadyMicros());
   plane_.pool.Keep([this](const std::string& id) {
     const Instance* instance = plane_.directory->Find(id);
     return instance != nullptr && instance->phase != Phase::kDeregistered;
--- a/src/dataplane/load_balancing/load_balancer.hpp
+++ b/src/dataplane/load_balancing/load_balancer.hpp
@@ -1,10 +1,9 @@
-// Which server a request goes to. The servers that may take it stand on a ring in the order of their ids; a
-// sidecar uses a run of consecutive ones, its window, that begins at an offset set by its number. Of two
-// random servers of the window the less busy one is taken, by the requests that this sidecar has there and by
-// what the server told last of its load. Where prompts are told, it is the time until the server would have
-// read this one, after those that this sidecar and others have sent there. A server that holds the first
-// parts of the prompt counts as less busy by what that saves; one of another zone, or to which no connection
-// is kept, as busier by what these cost. A core: it holds no clock, socket, file or thread.
+// Picks the server for each request. The candidates form a ring in the order of their ids; a sidecar uses a
+// run of consecutive ones, its window, which begins at an offset given by its number. For a request that
+// gives its prompt parts, the server with the least expected time until the prompt is prefilled is picked
+// (server_cost.hpp), from the window and the servers with affinity (affinity.hpp). For all others, the
+// cheaper one of two random servers of the window (power of two choices; Mitzenmacher, IEEE TPDS 2001). A
+// core: it holds no clock, socket, file or thread.
 #ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_LOAD_BALANCER_HPP_
 #define VIOLETWING_DATAPLANE_LOAD_BALANCING_LOAD_BALANCER_HPP_
 
@@ -16,131 +15,95 @@
 
 #include "common/random.hpp"
 #include "common/time.hpp"
+#include "dataplane/load_balancing/attempt_result.hpp"
+#include "dataplane/load_balancing/prefill_estimate.hpp"
 #include "dataplane/load_balancing/prefill_queue.hpp"
-#include "dataplane/load_balancing/prefix_cache.hpp"
+#include "dataplane/load_balancing/request_attributes.hpp"
+#include "dataplane/load_balancing/server_cost.hpp"
+#include "dataplane/load_balancing/server_state.hpp"
 #include "dataplane/routing/directory.hpp"
 #include "messages/load.hpp"
 
 namespace violetwing {
 
-// What a server told in X-Violetwing-Server-Load.
-struct ServerLoad {
-  int running = 0;
-  int waiting = 0;
-  int slots = 0;
+/// How soon other sidecars should get the next load report.
+enum class ReportUrgency {
+  kDeferred,
+  kImmediate,  ///< a long prompt was sent, and others may be about to send to the same server
 };
 
-enum class AttemptResult {
-  kServed,       // a whole answer of a server that works
-  kRefused,      // not run: the server is full
-  kWrongServer,  // not run: another server, or one without the model
-  kUnreachable,  // not run: no connection came up
-  kBroken,       // may have run: reset, closed, or not an answer
-  kError,        // run, and failed
-  kSilent,       // may have run: given up here after a long time without a byte
-  kCancelled,    // may have run: given up here for another reason
+/// What a server's first byte of a response says.
+enum class FirstByteKind {
+  kExecuting,  ///< the server executes the request, so that its prompt has been prefilled
+  kOther,      ///< a rejection or an error
 };
 
+/// Load balancer of one sidecar. Not thread-safe. All times are of the steady clock.
 class LoadBalancer {
  public:
+  /// `seed`: of the random choices.
   explicit LoadBalancer(std::uint64_t seed) : random_(seed) {}
 
-  struct RequestAttributes {
-    std::string model;  // empty for plain services
-    std::string adapter;
-    const std::vector<PromptPart>* parts = nullptr;
-    double tokens = 0;               // of the whole prompt
-    std::vector<std::string> tried;  // ids that this request has been sent to
-    // Set as it is sent: of the prompt, what that server has to read, the time that should take, and that of
-    // the prompts that the server was known to read first.
-    double unread_tokens = 0;
-    double unread_ms = 0;
-    double before_ms = 0;
-    Micros sent_at = 0;
-  };
-
-  // The zone of this sidecar, and whether an idle connection to a server is kept.
-  void SetNear(std::string zone, std::function<bool(const std::string& id)> connected) {
-    zone_ = std::move(zone);
-    connected_ = std::move(connected);
-  }
-
-  // Null if no server of `candidates` may take it now. They are sorted by id.
-  const Instance* Choose(const std::vector<const Instance*>& candidates, const Directory& directory,
-                         const RequestAttributes& attributes, Micros now);
+  /// Zone of this sidecar (empty: zones do not matter), and whether an idle connection to an instance is
+  /// open.
+  void SetLocality(std::string zone, std::function<bool(const std::string& id)> has_connection);
 
+  /// The best server of `candidates`, which must be sorted by id; null if none may be attempted now. Ejected
+  /// servers are used only if there is no other.
+  const Instance* PickServer(const std::vector<const Instance*>& candidates, const Directory& directory,
+                             const RequestAttributes& attributes, Micros now);
+
+  /// An attempt was sent to an instance: sets the prefill estimates of `attributes`.
   void OnSent(const std::string& id, RequestAttributes& attributes, Micros now);
-  void OnLoad(const std::string& id, const ServerLoad& load, Micros now);
-  // `runs`: the server has begun to answer, and does not turn the request away.
-  void OnFirstByte(const std::string& id, const RequestAttributes& attributes, bool runs, Micros now);
-  // `answered`: a first byte has come.
-  void OnEnd(const std::string& id, AttemptResult result, const RequestAttributes& attributes, bool answered,
-             Micros now);
-  // Forgets servers that are no longer there.
-  void Keep(const Directory& directory, Micros now);
-
-  // `on_news` is called when there is something to report; `heavy`: others should know of it at once, as they
-  // may be about to send to the same server.
-  void SetOnNews(std::function<void(bool heavy)> on_news) { on_news_ = std::move(on_news); }
-  // The prompts sent since the last report, without its sender.
+  /// An instance reported its load.
+  void OnLoadReported(const std::string& id, const ServerLoad& load, Micros now);
+  /// The first byte of an attempt's response arrived; at most once an attempt.
+  void OnFirstByte(const std::string& id, const RequestAttributes& attributes, FirstByteKind kind,
+                   Micros now);
+  /// An attempt ended; once for each OnSent. `first_byte_received`: OnFirstByte was called for it.
+  void OnEnd(const std::string& id, AttemptResult result, const RequestAttributes& attributes,
+             bool first_byte_received, Micros now);
+  /// Removes the state of servers that the directory no longer lists and that have nothing in flight.
+  void RemoveMissing(const Directory& directory, Micros now);
+
+  /// Called after each prompt that the next report will include; null turns reports off.
+  void SetOnReportPending(std::function<void(ReportUrgency)> on_report_pending);
+  /// The prompts sent since the last report; its sender is left empty.
   LoadReport TakeReport();
-  // Only some of the other sidecars tell of their prompts: each stands for so many.
-  void SetReportWeight(double sidecars) { report_weight_ = sidecars; }
-  // What another sidecar reports.
-  void OnReport(const LoadReport& report, Micros now);
+  /// Only some of the other sidecars report to this one: each report stands for the prompts of so many.
+  void SetSidecarsPerReport(double sidecars) { sidecars_per_report_ = sidecars; }
+  /// Another sidecar's report. Prompts with an implausible prefill time are ignored.
+  void OnPeerReport(const LoadReport& report, Micros now);
 
+  /// Requests of this sidecar in flight at an instance.
   int InFlight(const std::string& id) const;
 
  private:
-  struct Server {
-    int in_flight = 0;
-    int silent = 0;           // of these, without a first byte yet
-    Micros silent_since = 0;  // since which all that was asked is without an answer; 0 if none is
-
-    ServerLoad load;
-    Micros load_at = 0;
-    int failures = 0;  // in a row
-    Micros ejected_until = 0;
-    Micros full_until = 0;
-    std::map<std::string, Micros> lacks_until;  // model or model/adapter that it turned out not to hold
-    PrefixCache cache;
-  };
-
-  // How fast a model's prompts are read, as sums that fade with each sample.
-  struct ReadSpeed {
-    double ms = 0;
-    double tokens = 0;
-  };
-
-  void LearnSpeed(const RequestAttributes& attributes, Micros now);
-  double MsPerToken(const std::string& model) const;
-  // How long a prompt waits at a server until it is read, in ms.
-  double ReadCost(const Server& server, const Instance& instance, const RequestAttributes& attributes,
-                  bool home, Micros now) const;
-  // Of what the server told last of others' requests, what is left of it now.
-  static double Faded(const Server& server, int told, Micros now);
-  bool Usable(const Server& server, const RequestAttributes& attributes, Micros now) const;
-  bool Connected(const Instance& instance) const { return !connected_ || connected_(instance.id); }
-  bool InOwnZone(const Instance& instance) const { return zone_.empty() || instance.zone == zone_; }
-  double Cost(const Server& server, const Instance& instance, const RequestAttributes& attributes, bool home,
-              Micros now) const;
-  // The servers that all sidecars prefer for a prompt's shared parts, by a hash of both: its parts are read
-  // there.
-  static std::vector<const Instance*> Homes(const std::vector<const Instance*>& candidates,
-                                            const RequestAttributes& attributes);
+  class CheapestServer;
+
+  bool MayAttempt(const Instance& instance, const RequestAttributes& attributes, Micros now);
+  double Cost(const Instance& instance, const RequestAttributes& attributes, bool has_affinity, Micros now);
+  void ConsiderWindowAndAffinity(CheapestServer& cheapest, const std::vector<const Instance*>& ring,
+                                 std::size_t window);
+  void ConsiderTwoRandom(CheapestServer& cheapest, const std::vector<const Instance*>& ring,
+                         std::size_t window);
+  void ConsiderAll(CheapestServer& cheapest, const std::vector<const Instance*>& ring);
+  void ConsiderEjected(CheapestServer& cheapest, const std::vector<const Instance*>& ring);
+  void AddToReport(const std::string& id, const RequestAttributes& attributes);
 
   Random random_;
-  std::string zone_;  // empty: all are as near
-  std::function<bool(const std::string& id)> connected_;
-  std::map<std::string, Server> servers_;
+  std::string zone_;
+  std::function<bool(const std::string& id)> has_connection_;
+  std::map<std::string, ServerState> servers_;  // by instance id
   PrefillQueue prefill_queue_;
-  double report_weight_ = 1;                 // sidecars for each one that tells of its prompts
-  std::map<std::string, ReadSpeed> speeds_;  // by model
-  std::vector<SentPrompt> prompts_;          // sent since the last report
-  std::function<void(bool heavy)> on_news_;
+  PrefillEstimate prefill_estimate_;
+  double sidecars_per_report_ = 1;
+  std::vector<SentPrompt> unreported_prompts_;
+  std::function<void(ReportUrgency)> on_report_pending_;
 };
 
-// Where a window begins: the numbers are spread evenly over the ring.
+/// Where a sidecar's window begins in a ring of `ring` servers: the sidecars' numbers, from 0, are spread
+/// evenly over it.
 std::size_t WindowOffset(int number, int sidecars, std::size_t ring);
 
 }  // namespace violetwing
--- a/src/dataplane/load_balancing/load_report_exchange.cpp
+++ b/src/dataplane/load_balancing/load_report_exchange.cpp
@@ -14,16 +14,15 @@
 using boost::asio::ip::udp;
 using std::chrono::milliseconds;
 
-// Reports of what others should know at once leave after so long, together with what else comes by then.
-constexpr milliseconds kSoon{2};
-// All others.
-constexpr milliseconds kLater{400};
+// Even an immediate report waits a little, to include the prompts sent right after the first.
+constexpr milliseconds kImmediateDelay{2};
+constexpr milliseconds kDeferredDelay{400};
 
 }  // namespace
 
 LoadReportExchange::LoadReportExchange(boost::asio::io_context& io, std::string node,
                                        LoadBalancer& load_balancer)
-    : load_balancer_(load_balancer), node_(std::move(node)), socket_(io), send_soon_(io) {}
+    : load_balancer_(load_balancer), node_(std::move(node)), socket_(io), send_timer_(io) {}
 
 std::error_code LoadReportExchange::Start(const std::string& address) {
   const auto endpoint = ParseEndpoint(address);
@@ -37,14 +36,14 @@
     socket_.close();
     return error;
   }
-  load_balancer_.SetOnNews([this](bool heavy) { OnNews(heavy); });
+  load_balancer_.SetOnReportPending([this](ReportUrgency urgency) { ScheduleSend(urgency); });
   Receive();
   return {};
 }
 
 void LoadReportExchange::Stop() {
-  load_balancer_.SetOnNews(nullptr);
-  send_soon_.cancel();
+  load_balancer_.SetOnReportPending(nullptr);
+  send_timer_.cancel();
   boost::system::error_code ignored;
   socket_.close(ignored);
 }
@@ -56,12 +55,13 @@
       neighbors_.emplace_back(endpoint->address(), endpoint->port());
 }
 
-void LoadReportExchange::OnNews(bool heavy) {
-  if (send_pending_ && (soon_ || !heavy)) return;
+void LoadReportExchange::ScheduleSend(ReportUrgency urgency) {
+  const bool immediate = urgency == ReportUrgency::kImmediate;
+  if (send_pending_ && (pending_urgency_ == ReportUrgency::kImmediate || !immediate)) return;
   send_pending_ = true;
-  soon_ = heavy;
-  send_soon_.expires_after(heavy ? kSoon : kLater);
-  send_soon_.async_wait([this](const boost::system::error_code& error) {
+  pending_urgency_ = urgency;
+  send_timer_.expires_after(immediate ? kImmediateDelay : kDeferredDelay);
+  send_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) Send();
   });
 }
@@ -72,8 +72,8 @@
   if (report.prompts.empty() || neighbors_.empty() || !socket_.is_open()) return;
   report.node = node_;
   const std::string text = Encode(report);
-  if (text.size() > kMostBytes) return;
-  boost::system::error_code ignored;  // a report that is lost is merely not known elsewhere
+  if (text.size() > kMaxReportBytes) return;
+  boost::system::error_code ignored;  // reports are best effort
   for (const udp::endpoint& neighbor : neighbors_)
     socket_.send_to(boost::asio::buffer(text), neighbor, 0, ignored);
 }
@@ -82,15 +82,16 @@
   socket_.async_receive_from(boost::asio::buffer(buffer_), sender_,
                              [this](const boost::system::error_code& error, std::size_t bytes) {
                                if (!socket_.is_open()) return;
-                               if (!error) Take(bytes);  // an error tells of a neighbor that is down
+                               if (!error)
+                                 OnDatagram(bytes);  // errors are ICMP replies of neighbors that are down
                                Receive();
                              });
 }
 
-void LoadReportExchange::Take(std::size_t bytes) {
+void LoadReportExchange::OnDatagram(std::size_t bytes) {
   const std::string_view text(buffer_.data(), bytes);
-  if (const auto report = DecodeLoadReport(text)) return load_balancer_.OnReport(*report, SteadyMicros());
-  spdlog::debug("a report of load cannot be read: {} bytes", bytes);
+  if (const auto report = DecodeLoadReport(text)) return load_balancer_.OnPeerReport(*report, SteadyMicros());
+  spdlog::debug("load report malformed bytes={}", bytes);
 }
 
 }  // namespace violetwing
--- a/src/dataplane/load_balancing/prefill_queue.cpp
+++ b/src/dataplane/load_balancing/prefill_queue.cpp
@@ -5,40 +5,42 @@
 namespace violetwing {
 namespace {
 
-// What was sent longer ago has been read, or its server is in trouble, which shows elsewhere.
-constexpr Micros kReadWithin = 10'000'000;
+// A prompt older than this was prefilled, or its server has a fault, which outlier detection sees.
+constexpr Micros kMaxPrefillAge = 10'000'000;
 
 Micros ToMicros(double ms) { return static_cast<Micros>(ms * 1000); }
 
 }  // namespace
 
-void PrefillQueue::OnSent(const std::string& server, double ms, Micros now) {
-  Server& at = servers_[server];
-  at.sent.push_back({now, ms});
-  at.read_at = std::max(at.read_at, now) + ToMicros(ms);
+void PrefillQueue::Enqueue(const std::string& server_id, double prefill_ms, Micros now) {
+  Server& server = servers_[server_id];
+  server.prompts.push_back({now, prefill_ms});
+  server.done_at = std::max(server.done_at, now) + ToMicros(prefill_ms);
 }
 
-void PrefillQueue::OnRead(const std::string& server, Micros sent_at, Micros now) {
-  const auto it = servers_.find(server);
+void PrefillQueue::OnPrefillDone(const std::string& server_id, Micros sent_at, Micros now) {
+  const auto it = servers_.find(server_id);
   if (it == servers_.end()) return;
-  Server& at = it->second;
-  while (!at.sent.empty() && at.sent.front().at <= sent_at) at.sent.pop_front();
-  double left_ms = 0;
-  for (const Sent& sent : at.sent) left_ms += sent.ms;
-  at.read_at = now + ToMicros(left_ms);
+  Server& server = it->second;
+  while (!server.prompts.empty() && server.prompts.front().sent_at <= sent_at) server.prompts.pop_front();
+  double remaining_ms = 0;
+  for (const QueuedPrompt& prompt : server.prompts) remaining_ms += prompt.prefill_ms;
+  server.done_at = now + ToMicros(remaining_ms);
 }
 
-double PrefillQueue::WaitMs(const std::string& server, Micros now) const {
-  const auto it = servers_.find(server);
-  if (it == servers_.end() || it->second.read_at <= now) return 0;
-  return static_cast<double>(it->second.read_at - now) / 1000;
+double PrefillQueue::RemainingMs(const std::string& server_id, Micros now) const {
+  const auto it = servers_.find(server_id);
+  if (it == servers_.end() || it->second.done_at <= now) return 0;
+  return static_cast<double>(it->second.done_at - now) / 1000;
 }
 
-void PrefillQueue::Expire(Micros now) {
+void PrefillQueue::RemoveExpired(Micros now) {
   for (auto& [id, server] : servers_)
-    while (!server.sent.empty() && now - server.sent.front().at > kReadWithin) server.sent.pop_front();
-  std::erase_if(servers_,
-                [&](const auto& entry) { return entry.second.sent.empty() && entry.second.read_at <= now; });
+    while (!server.prompts.empty() && now - server.prompts.front().sent_at > kMaxPrefillAge)
+      server.prompts.pop_front();
+  std::erase_if(servers_, [&](const auto& entry) {
+    return entry.second.prompts.empty() && entry.second.done_at <= now;
+  });
 }
 
 }  // namespace violetwing
--- a/src/dataplane/load_balancing/prefill_queue.hpp
+++ b/src/dataplane/load_balancing/prefill_queue.hpp
@@ -1,11 +1,10 @@
-// How long the prompts that were sent to each server still take to be read: those of this sidecar, and those
-// that others tell of. A server reads them one after the other, so that what was sent there goes down by a
-// millisecond in each, and the first byte of an answer shows that its prompt and all before it have been
-// read. A core: it holds no clock, socket, file or thread.
+// An estimate of each server's prefill queue: the prompts sent there, by this sidecar and, as reported, by
+// others, that it has not prefilled yet. A server prefills one prompt after the other, so that the queue
+// shrinks by a millisecond in each, and the first byte of a response shows that its prompt and all before it
+// are done. A core: it holds no clock, socket, file or thread.
 #ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFILL_QUEUE_HPP_
 #define VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFILL_QUEUE_HPP_
 
-#include <cstdint>
 #include <deque>
 #include <map>
 #include <string>
@@ -14,28 +13,29 @@
 
 namespace violetwing {
 
+/// Prefill queues of all servers, by instance id. Times are of the steady clock and must not decrease.
 class PrefillQueue {
  public:
-  // A prompt that takes `ms` to be read was sent to the server.
-  void OnSent(const std::string& server, double ms, Micros now);
-  // The prompt that was sent there at `sent_at` has been read.
-  void OnRead(const std::string& server, Micros sent_at, Micros now);
-  // Until all that was sent there has been read, in ms.
-  double WaitMs(const std::string& server, Micros now) const;
-  // Forgets what has long been read.
-  void Expire(Micros now);
+  /// Adds a prompt whose prefill is expected to take `prefill_ms`.
+  void Enqueue(const std::string& server, double prefill_ms, Micros now);
+  /// The prompt sent at `sent_at` has been prefilled, and so have all sent before it.
+  void OnPrefillDone(const std::string& server, Micros sent_at, Micros now);
+  /// Time until the whole queue is prefilled, in ms; 0 for an unknown server.
+  double RemainingMs(const std::string& server, Micros now) const;
+  /// Removes prompts that must have been prefilled long ago, and servers without any.
+  void RemoveExpired(Micros now);
 
  private:
-  struct Sent {
-    Micros at = 0;
-    double ms = 0;
+  struct QueuedPrompt {
+    Micros sent_at = 0;
+    double prefill_ms = 0;
   };
   struct Server {
-    std::deque<Sent> sent;  // as it is known; in the order of being sent
-    Micros read_at = 0;     // when all of it will have been read
+    std::deque<QueuedPrompt> prompts;  // in the order of being sent
+    Micros done_at = 0;                // when all of them are expected to be prefilled
   };
 
-  std::map<std::string, Server> servers_;  // by id
+  std::map<std::string, Server> servers_;  // by instance id
 };
 
 }  // namespace violetwing
--- a/src/dataplane/load_balancing/prefix_cache.hpp
+++ b/src/dataplane/load_balancing/prefix_cache.hpp
@@ -1,41 +1,36 @@
-// A guess at what a server keeps of prompts: the parts that this sidecar has sent there lately, per model and
-// adapter, within the server's memory. A part counts only if all before it are kept as well.
+// An estimate of a server's prefix cache (KV cache of prompt prefixes): the prompt parts sent there lately,
+// in least-recently-used order. A part counts as cached only if all parts before it are cached as well.
+// A core: it holds no clock, socket, file or thread.
 #ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFIX_CACHE_HPP_
 #define VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFIX_CACHE_HPP_
 
-#include <cstdint>
 #include <list>
 #include <string>
-#include <string_view>
 #include <unordered_map>
 #include <vector>
 
-namespace violetwing {
-
-struct PromptPart {
-  std::string id;
-  double tokens = 0;
-};
+#include "dataplane/load_balancing/prompt_parts.hpp"
 
-// "5c1e07a2:800,91bd3f06:410": parts in order. What cannot be read ends the list.
-std::vector<PromptPart> ParsePromptParts(std::string_view text);
-// The reverse of it.
-std::string ToText(const std::vector<PromptPart>& parts);
+namespace violetwing {
 
+/// LRU model of one server's prefix cache. `weights_key` names the model and adapter
+/// (RequestAttributes::WeightsKey): caches of different weights are not shared.
 class PrefixCache {
  public:
-  // `weights` names the model and adapter.
-  double CachedTokens(const std::string& weights, const std::vector<PromptPart>& parts) const;
-  void Insert(const std::string& weights, const std::vector<PromptPart>& parts, double most_tokens);
+  /// Tokens at the start of the prompt that are expected to be cached.
+  double CachedTokens(const std::string& weights_key, const std::vector<PromptPart>& parts) const;
+  /// Marks the parts as most recently used, then evicts until at most `capacity_tokens` remain.
+  void Insert(const std::string& weights_key, const std::vector<PromptPart>& parts, double capacity_tokens);
+  /// Empties the cache, as after a restart of the server.
   void Clear();
 
  private:
-  struct Kept {
+  struct Entry {
     std::string key;
     double tokens;
   };
-  std::list<Kept> kept_;  // the last used first
-  std::unordered_map<std::string, std::list<Kept>::iterator> by_key_;
+  std::list<Entry> lru_;  // most recently used first
+  std::unordered_map<std::string, std::list<Entry>::iterator> by_key_;
   double tokens_ = 0;
 };
 
--- a/src/dataplane/routing/directory.cpp
+++ b/src/dataplane/routing/directory.cpp
@@ -85,8 +85,8 @@
   return it == servers_.end() ? kNone : it->second;
 }
 
-std::vector<const Instance*> Directory::Holders(const std::string& backend, const std::string& model,
-                                                const std::string& adapter) const {
+std::vector<const Instance*> Directory::ServersWithModel(const std::string& backend, const std::string& model,
+                                                         const std::string& adapter) const {
   std::vector<const Instance*> out;
   for (const Instance* instance : Servers(backend))
     if (Holds(*instance, model, adapter)) out.push_back(instance);
--- a/src/dataplane/routing/directory.hpp
+++ b/src/dataplane/routing/directory.hpp
@@ -45,8 +45,8 @@
   // Servers of a service that take requests, sorted by id. They live as long as this directory.
   const std::vector<const Instance*>& Servers(const std::string& backend) const;
   // Of these, those that hold a model, and the adapter of it unless that is empty.
-  std::vector<const Instance*> Holders(const std::string& backend, const std::string& model,
-                                       const std::string& adapter) const;
+  std::vector<const Instance*> ServersWithModel(const std::string& backend, const std::string& model,
+                                                const std::string& adapter) const;
   const Instance* Find(const std::string& id) const;
   int number() const { return number_; }
   int sidecars() const { return sidecars_; }
--- a/src/dataplane/routing/request_router.cpp
+++ b/src/dataplane/routing/request_router.cpp
@@ -119,10 +119,10 @@
   if (const std::string* count = FindField(request_.fields, field::kTokenCount))
     std::sscanf(count->c_str(), "%lf,%lf", &prompt, &most_out);
   tokens_ = prompt + kReadPerPutOut * most_out;
-  attributes_.tokens = prompt;
+  attributes_.prompt_tokens = prompt;
   if (const std::string* parts = FindField(request_.fields, field::kPromptPrefix)) {
     parts_ = ParsePromptParts(*parts);
-    attributes_.parts = &parts_;
+    attributes_.prompt_parts = &parts_;
   }
 }
 
@@ -147,9 +147,9 @@
   const DirectoryPtr now = plane_.directory;
   const bool models = backend_->runtime != nullptr && !attributes_.model.empty();
   const std::vector<const Instance*> candidates =
-      models ? now->Holders(backend_->name, attributes_.model, attributes_.adapter)
+      models ? now->ServersWithModel(backend_->name, attributes_.model, attributes_.adapter)
              : now->Servers(backend_->name);
-  const Instance* instance = plane_.load_balancer.Choose(candidates, *now, attributes_, SteadyMicros());
+  const Instance* instance = plane_.load_balancer.PickServer(candidates, *now, attributes_, SteadyMicros());
   if (instance == nullptr) {
     if (models && !now->Servers(backend_->name).empty()) return Hold();
     return Refuse("no server", kStartS / 2);
@@ -210,7 +210,7 @@
   sent_at_ = Clock::now();
   answered_ = refused_ = wrong_server_ = false;
   ++attempts_;
-  attributes_.tried.push_back(instance.id);
+  attributes_.attempted_servers.push_back(instance.id);
   plane_.load_balancer.OnSent(server_, attributes_, SteadyMicros());
   UpstreamExchange::Request request;
   request.instance = instance.id;
@@ -228,15 +228,16 @@
 void RequestRouter::OnHead(const AnswerHead& head) {
   const Micros now = SteadyMicros();
   if (const std::string* load = FindField(head.fields, field::kServerLoad))
-    plane_.load_balancer.OnLoad(server_, ParseLoad(*load), now);
+    plane_.load_balancer.OnLoadReported(server_, ParseLoad(*load), now);
   if (!std::exchange(answered_, true))
-    plane_.load_balancer.OnFirstByte(server_, attributes_, head.status == 200, now);
+    plane_.load_balancer.OnFirstByte(
+        server_, attributes_, head.status == 200 ? FirstByteKind::kExecuting : FirstByteKind::kOther, now);
   first_byte_at_ = Clock::now();
   const bool not_run = FindField(head.fields, field::kNotExecuted) != nullptr || head.status == 421;
   if (not_run && Promises(head.status)) {
     refused_ = true;  // decided once its answer is read, so that its connection can serve again
     wrong_server_ = head.status == 421;
-    if (wrong_server_) attributes_.tried.clear();
+    if (wrong_server_) attributes_.attempted_servers.clear();
     return;
   }
   may_have_run_ = true;
@@ -271,9 +272,9 @@
       --attempts_;
       ++unreachable_;
       return RetryOrRefuse();
-    case ExchangeEnd::kWhole:
+    case ExchangeEnd::kComplete:
       if (refused_) {
-        EndAttempt(wrong_server_ ? AttemptResult::kWrongServer : AttemptResult::kRefused);
+        EndAttempt(wrong_server_ ? AttemptResult::kWrongServer : AttemptResult::kRejected);
         ++refusals_;
         return RetryOrRefuse();
       }
@@ -281,14 +282,14 @@
       outcome_ = "served";
       client_->Finish();
       return End();
-    case ExchangeEnd::kBroken:
+    case ExchangeEnd::kReset:
       if (refused_) {  // its head has said that it was not run
-        EndAttempt(AttemptResult::kRefused);
+        EndAttempt(AttemptResult::kRejected);
         ++refusals_;
         return RetryOrRefuse();
       }
       may_have_run_ = true;
-      EndAttempt(AttemptResult::kBroken);
+      EndAttempt(AttemptResult::kReset);
       if (client_->head_sent()) {
         outcome_ = "the server broke off";
         client_->Abort();
@@ -300,9 +301,9 @@
 
 // Waits as the design has it, if another attempt is allowed and can come in time.
 bool RequestRouter::WaitToRetry(bool arrived) {
-  const int most = std::min(kMostAttempts, route_->max_attempts);
+  const int most = std::min(kMaxAttempts, route_->max_attempts);
   if (attempts_ >= most || unreachable_ >= kMostUnreachable) return false;
-  const Micros wait = RetryWait(refusals_, plane_.random);
+  const Micros wait = RetryBackoff(refusals_, plane_.random);
   if (wait / 1000 + 5 >= LeftMs()) return false;
   if (arrived && !plane_.budget.Spend(backend_->name, plane_.directory->sidecars(), SteadyMicros()))
     return false;
@@ -345,7 +346,7 @@
   if (exchange_ != nullptr) {
     exchange_->Cancel();
     const bool silent = !answered_ && Clock::now() - sent_at_ > kSilentAfter;
-    EndAttempt(silent ? AttemptResult::kSilent : AttemptResult::kCancelled);
+    EndAttempt(silent ? AttemptResult::kTimedOut : AttemptResult::kCancelled);
   }
   if (client_->head_sent()) {
     outcome_ = "its time was over midway";
@@ -363,7 +364,7 @@
   if (exchange_ != nullptr) {
     exchange_->Cancel();
     const bool silent = !answered_ && Clock::now() - sent_at_ > kSilentAfter;
-    EndAttempt(silent ? AttemptResult::kSilent : AttemptResult::kCancelled);
+    EndAttempt(silent ? AttemptResult::kTimedOut : AttemptResult::kCancelled);
   }
   End();
 }
@@ -378,8 +379,8 @@
       "request {} route {} model {}/{} server {} attempts {} sent {} first_byte {} end {}: {}; to read "
       "{:.0f} ms before, {:.0f} ms own",
       request_id_, route_ == nullptr ? "-" : route_->name, attributes_.model, attributes_.adapter, server_,
-      attempts_, since(sent_at_), since(first_byte_at_), since(Clock::now()), outcome_, attributes_.before_ms,
-      attributes_.unread_ms);
+      attempts_, since(sent_at_), since(first_byte_at_), since(Clock::now()), outcome_,
+      attributes_.queued_prefill_ms, attributes_.uncached_prefill_ms);
 }
 
 void RequestRouter::End() {
--- a/src/dataplane/routing/request_router.hpp
+++ b/src/dataplane/routing/request_router.hpp
@@ -83,7 +83,7 @@
   const configuration::Backend* backend_ = nullptr;
   std::string request_id_;
   std::vector<PromptPart> parts_;
-  LoadBalancer::RequestAttributes attributes_;
+  RequestAttributes attributes_;
   double tokens_ = 0;  // of prompt and answer, in tokens read
   Clock::time_point deadline_;
   boost::asio::steady_timer deadline_timer_;
--- a/src/dataplane/routing/retry_budget.cpp
+++ b/src/dataplane/routing/retry_budget.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Micros RetryWait(int refusals, Random& random) {
+Micros RetryBackoff(int refusals, Random& random) {
   const Micros bound = std::min(kCap, kBase << std::min(refusals, 10));
   return static_cast<Micros>(random.Below(static_cast<std::uint64_t>(bound) + 1));
 }
--- a/src/dataplane/routing/retry_budget.hpp
+++ b/src/dataplane/routing/retry_budget.hpp
@@ -40,10 +40,10 @@
 };
 
 // The wait after the n-th refusal (from 0): full jitter up to a bound that doubles.
-Micros RetryWait(int refusals, Random& random);
+Micros RetryBackoff(int refusals, Random& random);
 
 // Attempts that the design allows, the first included.
-inline constexpr int kMostAttempts = 5;
+inline constexpr int kMaxAttempts = 5;
 
 }  // namespace violetwing
 
--- a/src/dataplane/upstream/upstream.cpp
+++ b/src/dataplane/upstream/upstream.cpp
@@ -106,7 +106,7 @@
 }
 
 void UpstreamExchange::OnHead(ErrorCode error) {
-  if (error) return Finish(ExchangeEnd::kBroken);
+  if (error) return Finish(ExchangeEnd::kReset);
   const auto& message = parser_->get();
   head_.status = static_cast<int>(message.result_int());
   if (head_.status / 100 == 1) return ReadHead();  // the answer itself is to come
@@ -114,12 +114,12 @@
   head_.fields = EndToEnd(message);
   const std::string* id = FindField(head_.fields, field::kRequestId);
   // A late second answer to another request stands where this one's should: it tells nothing of this one.
-  if (id != nullptr && *id != request_.request_id) return Finish(ExchangeEnd::kBroken);
+  if (id != nullptr && *id != request_.request_id) return Finish(ExchangeEnd::kReset);
   head_.chunked = parser_->chunked();
   if (const auto length = parser_->content_length()) head_.length = *length;
   head_.bodiless = request_.head_only || head_.status == 204 || head_.status == 304;
   // Without a length, an end could not be told from a break.
-  if (!head_.chunked && !head_.length && !head_.bodiless) return Finish(ExchangeEnd::kBroken);
+  if (!head_.chunked && !head_.length && !head_.bodiless) return Finish(ExchangeEnd::kReset);
   const auto self = shared_from_this();
   events_.on_head(head_);
   if (!over_) ReadBody();
@@ -127,7 +127,7 @@
 
 void UpstreamExchange::ReadBody() {
   if (over_ || reading_) return;
-  if (parser_->is_done()) return Finish(ExchangeEnd::kWhole);
+  if (parser_->is_done()) return Finish(ExchangeEnd::kComplete);
   if (paused_) return;
   reading_ = true;
   auto& body = parser_->get().body();
@@ -147,7 +147,7 @@
   const auto self = shared_from_this();
   if (size > 0) events_.on_data({piece_.data(), size});
   if (over_) return;
-  if (error) return Finish(ExchangeEnd::kBroken);
+  if (error) return Finish(ExchangeEnd::kReset);
   ReadBody();
 }
 
@@ -162,7 +162,7 @@
   connect_limit_.cancel();
   ErrorCode ignored;
   // What stands behind a whole answer belongs to no request.
-  const auto idle = end == ExchangeEnd::kWhole ? IdleTime(parser_->get()) : std::nullopt;
+  const auto idle = end == ExchangeEnd::kComplete ? IdleTime(parser_->get()) : std::nullopt;
   if (idle && written_ && buffer_.size() == 0)
     pool_.Put(request_.instance, socket_, *idle);
   else
--- a/src/dataplane/upstream/upstream.hpp
+++ b/src/dataplane/upstream/upstream.hpp
@@ -32,9 +32,9 @@
 };
 
 enum class ExchangeEnd {
-  kWhole,        // the whole answer has come
+  kComplete,     // the whole answer has come
   kUnreachable,  // no connection came up: nothing was sent
-  kBroken,       // reset or closed, or what came is no answer to this request
+  kReset,        // reset or closed, or what came is no answer to this request
 };
 
 class UpstreamPool;
--- a/tests/control/digest_test.cpp
+++ b/tests/control/digest_test.cpp
@@ -275,18 +275,18 @@
   constexpr int kRequests = 400;
   const Directory directory = testing::ModelServers(10, static_cast<int>(seed % 3), 3);
   LoadBalancer load_balancer(seed);
-  load_balancer.SetNear("zone", [](const std::string& id) { return id.back() % 2 == 0; });
+  load_balancer.SetLocality("zone", [](const std::string& id) { return id.back() % 2 == 0; });
   Random random(seed, "choices");
   std::int64_t now = kSecond;
-  std::vector<std::pair<std::string, LoadBalancer::RequestAttributes>> open;
+  std::vector<std::pair<std::string, RequestAttributes>> open;
   std::vector<PromptPart> parts{{"p", 300}, {"q", 200}};
   for (int i = 0; i < kRequests; ++i) {
     now += static_cast<std::int64_t>(random.Below(80'000));
-    LoadBalancer::RequestAttributes attributes;
+    RequestAttributes attributes;
     attributes.model = "m";
-    attributes.parts = &parts;
-    attributes.tokens = 100.0 + static_cast<double>(random.Below(2000));
-    const Instance* server = load_balancer.Choose(directory.Servers("s"), directory, attributes, now);
+    attributes.prompt_parts = &parts;
+    attributes.prompt_tokens = 100.0 + static_cast<double>(random.Below(2000));
+    const Instance* server = load_balancer.PickServer(directory.Servers("s"), directory, attributes, now);
     digest.Add(server == nullptr ? std::string() : server->id);
     if (server != nullptr) {
       load_balancer.OnSent(server->id, attributes, now);
@@ -297,10 +297,12 @@
     const auto [id, sent] = open[at];
     open.erase(open.begin() + static_cast<std::ptrdiff_t>(at));
     const bool answered = random.Below(4) != 0;
-    if (answered) load_balancer.OnFirstByte(id, sent, random.Below(8) != 0, now);
+    if (answered)
+      load_balancer.OnFirstByte(
+          id, sent, random.Below(8) != 0 ? FirstByteKind::kExecuting : FirstByteKind::kOther, now);
     if (random.Below(3) == 0)
-      load_balancer.OnLoad(id, {static_cast<int>(random.Below(4)), static_cast<int>(random.Below(3)), 4},
-                           now);
+      load_balancer.OnLoadReported(
+          id, {static_cast<int>(random.Below(4)), static_cast<int>(random.Below(3)), 4}, now);
     const auto result = answered ? AttemptResult::kServed : static_cast<AttemptResult>(random.Below(8));
     load_balancer.OnEnd(id, result, sent, answered, now);
     if (i % 16 == 0) digest.Add(Encode(load_balancer.TakeReport()));
--- a/tests/dataplane/load_balancing/load_report_test.cpp
+++ b/tests/dataplane/load_balancing/load_report_test.cpp
@@ -18,11 +18,11 @@
 
 constexpr std::int64_t kSecond = 1'000'000;
 
-LoadBalancer::RequestAttributes RequestAttributes(const std::vector<PromptPart>& parts) {
-  LoadBalancer::RequestAttributes attributes;
+RequestAttributes AttributesOf(const std::vector<PromptPart>& parts) {
+  RequestAttributes attributes;
   attributes.model = "m";
-  attributes.parts = &parts;
-  for (const PromptPart& part : parts) attributes.tokens += part.tokens;
+  attributes.prompt_parts = &parts;
+  for (const PromptPart& part : parts) attributes.prompt_tokens += part.tokens;
   return attributes;
 }
 
@@ -34,74 +34,77 @@
 // A sidecar's choices, whose reports go to others by the test's hand.
 struct Sidecar {
   explicit Sidecar(std::uint64_t seed) : load_balancer(seed) {
-    load_balancer.SetOnNews([this](bool heavy) { heavy_news += heavy ? 1 : 0; });
+    load_balancer.SetOnReportPending(
+        [this](ReportUrgency urgency) { immediate_reports += urgency == ReportUrgency::kImmediate ? 1 : 0; });
   }
   std::string Choose(const std::vector<PromptPart>& parts) {
-    const LoadBalancer::RequestAttributes attributes = RequestAttributes(parts);
-    return load_balancer.Choose(directory.Holders("s", "m", ""), directory, attributes, kSecond)->id;
+    const RequestAttributes attributes = AttributesOf(parts);
+    return load_balancer.PickServer(directory.ServersWithModel("s", "m", ""), directory, attributes, kSecond)
+        ->id;
   }
   std::string Send(const std::vector<PromptPart>& parts, std::int64_t now) {
-    LoadBalancer::RequestAttributes attributes = RequestAttributes(parts);
+    RequestAttributes attributes = AttributesOf(parts);
     const Instance* instance =
-        load_balancer.Choose(directory.Holders("s", "m", ""), directory, attributes, now);
+        load_balancer.PickServer(directory.ServersWithModel("s", "m", ""), directory, attributes, now);
     REQUIRE(instance != nullptr);
     load_balancer.OnSent(instance->id, attributes, now);
     return instance->id;
   }
   LoadBalancer load_balancer;
   Directory directory = testing::ModelServers(3, 0, 1);
-  int heavy_news = 0;
+  int immediate_reports = 0;
 };
 
 }  // namespace
 
 TEST_CASE("What a server has to read adds up, and goes down as time passes") {
-  PrefillQueue backlog;
-  backlog.OnSent("i-0", 200, kSecond);
-  backlog.OnSent("i-0", 100, kSecond + 50'000);
-  CHECK(backlog.WaitMs("i-0", kSecond + 50'000) == Approx(250));
-  CHECK(backlog.WaitMs("i-0", kSecond + 200'000) == Approx(100));
-  CHECK(backlog.WaitMs("i-0", 2 * kSecond) == 0);
-  CHECK(backlog.WaitMs("i-1", kSecond) == 0);
-  backlog.OnSent("i-0", 100, 3 * kSecond);  // it stood idle meanwhile
-  CHECK(backlog.WaitMs("i-0", 3 * kSecond) == Approx(100));
+  PrefillQueue queue;
+  queue.Enqueue("i-0", 200, kSecond);
+  queue.Enqueue("i-0", 100, kSecond + 50'000);
+  CHECK(queue.RemainingMs("i-0", kSecond + 50'000) == Approx(250));
+  CHECK(queue.RemainingMs("i-0", kSecond + 200'000) == Approx(100));
+  CHECK(queue.RemainingMs("i-0", 2 * kSecond) == 0);
+  CHECK(queue.RemainingMs("i-1", kSecond) == 0);
+  queue.Enqueue("i-0", 100, 3 * kSecond);  // it stood idle meanwhile
+  CHECK(queue.RemainingMs("i-0", 3 * kSecond) == Approx(100));
 }
 
 TEST_CASE("A first byte shows that its prompt and those before it were read, sooner or later than expected") {
-  PrefillQueue backlog;
-  backlog.OnSent("i-0", 200, kSecond);
-  backlog.OnSent("i-0", 300, kSecond + 1);
-  backlog.OnSent("i-0", 50, kSecond + 2);
-  backlog.OnRead("i-0", kSecond + 1, kSecond + 100'000);
-  CHECK(backlog.WaitMs("i-0", kSecond + 100'000) == Approx(50));
-  backlog.OnSent("i-0", 100, kSecond + 200'000);
-  backlog.OnRead("i-0", kSecond + 2, 2 * kSecond);  // slower than expected: the last one is yet to be read
-  CHECK(backlog.WaitMs("i-0", 2 * kSecond) == Approx(100));
-  backlog.OnRead("i-1", kSecond, kSecond);
-  CHECK(backlog.WaitMs("i-1", kSecond) == 0);
+  PrefillQueue queue;
+  queue.Enqueue("i-0", 200, kSecond);
+  queue.Enqueue("i-0", 300, kSecond + 1);
+  queue.Enqueue("i-0", 50, kSecond + 2);
+  queue.OnPrefillDone("i-0", kSecond + 1, kSecond + 100'000);
+  CHECK(queue.RemainingMs("i-0", kSecond + 100'000) == Approx(50));
+  queue.Enqueue("i-0", 100, kSecond + 200'000);
+  queue.OnPrefillDone("i-0", kSecond + 2,
+                      2 * kSecond);  // slower than expected: the last one is yet to be read
+  CHECK(queue.RemainingMs("i-0", 2 * kSecond) == Approx(100));
+  queue.OnPrefillDone("i-1", kSecond, kSecond);
+  CHECK(queue.RemainingMs("i-1", kSecond) == 0);
 }
 
 TEST_CASE("What was sent long ago is forgotten") {
-  PrefillQueue backlog;
-  backlog.OnSent("i-0", 200, kSecond);
-  backlog.Expire(20 * kSecond);
-  backlog.OnSent("i-0", 100, 20 * kSecond);
-  backlog.OnRead("i-0", 0, 20 * kSecond);
-  CHECK(backlog.WaitMs("i-0", 20 * kSecond) == Approx(100));
+  PrefillQueue queue;
+  queue.Enqueue("i-0", 200, kSecond);
+  queue.RemoveExpired(20 * kSecond);
+  queue.Enqueue("i-0", 100, 20 * kSecond);
+  queue.OnPrefillDone("i-0", 0, 20 * kSecond);
+  CHECK(queue.RemainingMs("i-0", 20 * kSecond) == Approx(100));
 }
 
 TEST_CASE("Sidecars that hear of each other do not send long prompts to the same idle server") {
   Sidecar first(1);
   Sidecar second(1);
   const std::string taken = first.Send({{"a", 9000}}, kSecond);
-  CHECK(first.heavy_news == 1);
+  CHECK(first.immediate_reports == 1);
   // A prompt that the second sidecar, which sees its own requests alone, sends there too.
   std::vector<PromptPart> parts;
   for (int i = 0; second.Choose(parts) != taken; ++i) {
     REQUIRE(i < 100);
     parts = {{"b" + std::to_string(i), 6000}, {"own", 3000}};
   }
-  second.load_balancer.OnReport(first.load_balancer.TakeReport(), kSecond);
+  second.load_balancer.OnPeerReport(first.load_balancer.TakeReport(), kSecond);
   CHECK(second.Choose(parts) != taken);
 }
 
@@ -111,9 +114,9 @@
   for (const char* id : {"i-0", "i-1", "i-2"}) {
     Sidecar first(1);
     Sidecar second(2);
-    LoadBalancer::RequestAttributes attributes = RequestAttributes(before);
+    RequestAttributes attributes = AttributesOf(before);
     first.load_balancer.OnSent(id, attributes, kSecond);
-    second.load_balancer.OnReport(first.load_balancer.TakeReport(), kSecond);
+    second.load_balancer.OnPeerReport(first.load_balancer.TakeReport(), kSecond);
     CHECK(second.Send(after, 2 * kSecond) == id);
   }
 }
@@ -133,36 +136,36 @@
   Sidecar other(1);
   for (const double ms : {-1.0, 1e9}) {
     report.prompts[0].read_ms = ms;
-    other.load_balancer.OnReport(report, kSecond);
+    other.load_balancer.OnPeerReport(report, kSecond);
   }
-  LoadBalancer::RequestAttributes attributes = RequestAttributes(parts);
+  RequestAttributes attributes = AttributesOf(parts);
   other.load_balancer.OnSent(taken, attributes, kSecond);
-  CHECK(attributes.before_ms == 0);
+  CHECK(attributes.queued_prefill_ms == 0);
 }
 
 TEST_CASE("How fast a model's prompts are read is learnt from those that waited for little else") {
   Sidecar sidecar(1);
   const std::vector<PromptPart> parts{{"a", 4000}};
   const std::vector<PromptPart> others{{"b", 4000}};
-  LoadBalancer::RequestAttributes first = RequestAttributes(parts);
+  RequestAttributes first = AttributesOf(parts);
   sidecar.load_balancer.OnSent("i-0", first, kSecond);
-  LoadBalancer::RequestAttributes second = RequestAttributes(others);
+  RequestAttributes second = AttributesOf(others);
   sidecar.load_balancer.OnSent("i-0", second, kSecond);
-  CHECK(second.before_ms == Approx(first.unread_ms));
-  LoadBalancer::RequestAttributes third;
-  const auto first_byte = [&](const LoadBalancer::RequestAttributes& attributes, bool runs,
+  CHECK(second.queued_prefill_ms == Approx(first.uncached_prefill_ms));
+  RequestAttributes third;
+  const auto first_byte = [&](const RequestAttributes& attributes, FirstByteKind kind,
                               std::int64_t after_ms) {
-    sidecar.load_balancer.OnFirstByte("i-0", attributes, runs, kSecond + after_ms * 1000);
+    sidecar.load_balancer.OnFirstByte("i-0", attributes, kind, kSecond + after_ms * 1000);
   };
-  const double unknown = first.unread_ms / first.unread_tokens;
-  first_byte(second, true, 100);  // it waited for the first one
-  first_byte(first, false, 40);   // refused
-  first_byte(first, true, 10);    // too fast: it was kept there
-  sidecar.load_balancer.OnSent("i-1", third = RequestAttributes(others), kSecond);
-  CHECK(third.unread_ms / third.unread_tokens == Approx(unknown));
-  first_byte(first, true, 40);
-  sidecar.load_balancer.OnSent("i-2", third = RequestAttributes(others), kSecond);
-  CHECK(third.unread_ms / third.unread_tokens == Approx(0.01));
+  const double unknown = first.uncached_prefill_ms / first.uncached_prompt_tokens;
+  first_byte(second, FirstByteKind::kExecuting, 100);  // it waited for the first one
+  first_byte(first, FirstByteKind::kOther, 40);        // refused
+  first_byte(first, FirstByteKind::kExecuting, 10);    // too fast: it was kept there
+  sidecar.load_balancer.OnSent("i-1", third = AttributesOf(others), kSecond);
+  CHECK(third.uncached_prefill_ms / third.uncached_prompt_tokens == Approx(unknown));
+  first_byte(first, FirstByteKind::kExecuting, 40);
+  sidecar.load_balancer.OnSent("i-2", third = AttributesOf(others), kSecond);
+  CHECK(third.uncached_prefill_ms / third.uncached_prompt_tokens == Approx(0.01));
 }
 
 TEST_CASE("Neighbors are the sidecars with the nearest numbers on both sides, the same at every process") {
@@ -200,11 +203,11 @@
   Sidecar second(1);
   const std::vector<PromptPart> parts{{"a", 9000}};
   const std::string taken = first.Send(parts, kSecond);
-  second.load_balancer.SetReportWeight(3);
-  second.load_balancer.OnReport(first.load_balancer.TakeReport(), kSecond);
-  LoadBalancer::RequestAttributes attributes = RequestAttributes(parts);
+  second.load_balancer.SetSidecarsPerReport(3);
+  second.load_balancer.OnPeerReport(first.load_balancer.TakeReport(), kSecond);
+  RequestAttributes attributes = AttributesOf(parts);
   second.load_balancer.OnSent(taken, attributes, kSecond);
-  CHECK(attributes.before_ms == Approx(9000 * 0.034 * 3).margin(3));
+  CHECK(attributes.queued_prefill_ms == Approx(9000 * 0.034 * 3).margin(3));
 }
 
 TEST_CASE("Reports go over datagrams; what is no report is passed over") {
@@ -229,12 +232,13 @@
   const std::vector<PromptPart> others{{"b", 9000}};
   const std::string taken = telling.Send(parts, SteadyMicros());
   const auto avoided = [&] {
-    LoadBalancer::RequestAttributes attributes = RequestAttributes(others);
+    RequestAttributes attributes = AttributesOf(others);
     int to_taken = 0;
     for (int i = 0; i < 30; ++i) {
-      const auto holders = told.directory.Holders("s", "m", "");
+      const auto holders = told.directory.ServersWithModel("s", "m", "");
       to_taken +=
-          told.load_balancer.Choose(holders, told.directory, attributes, SteadyMicros())->id == taken ? 1 : 0;
+          told.load_balancer.PickServer(holders, told.directory, attributes, SteadyMicros())->id == taken ? 1
+                                                                                                          : 0;
     }
     return to_taken == 0;
   };
--- a/tests/dataplane/routing/routing_test.cpp
+++ b/tests/dataplane/routing/routing_test.cpp
@@ -118,20 +118,21 @@
   CHECK(WindowOffset(0, 0, 0) == 0);
 }
 
-TEST_CASE("Holders of a model, and of an adapter of it") {
+TEST_CASE("Servers are found by the model, and by the adapter, that they have loaded") {
   const Directory directory = Ten(0, 1);
-  CHECK(directory.Holders("s", "m", "").size() == 10);
-  CHECK(directory.Holders("s", "m", "a1").size() == 3);
-  CHECK(directory.Holders("s", "n", "").empty());
+  CHECK(directory.ServersWithModel("s", "m", "").size() == 10);
+  CHECK(directory.ServersWithModel("s", "m", "a1").size() == 3);
+  CHECK(directory.ServersWithModel("s", "n", "").empty());
 }
 
 TEST_CASE("The less busy of the window is taken, and the refused, tried and ejected are passed over") {
   const Directory directory = Ten(0, 1);
   LoadBalancer load_balancer(1);
-  LoadBalancer::RequestAttributes attributes;
+  RequestAttributes attributes;
   std::map<std::string, int> sent;
   for (int i = 0; i < 80; ++i) {
-    const Instance* instance = load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond);
+    const Instance* instance =
+        load_balancer.PickServer(directory.Servers("s"), directory, attributes, kSecond);
     REQUIRE(instance != nullptr);
     ++sent[instance->id];
     load_balancer.OnSent(instance->id, attributes, kSecond);
@@ -139,10 +140,11 @@
   CHECK(sent.size() == 8);  // the window
   for (const auto& [id, count] : sent) CHECK(std::abs(count - 10) <= 4);
   load_balancer.OnEnd("i-0", AttemptResult::kWrongServer, attributes, true, kSecond);
-  for (int i = 0; i < 3; ++i) load_balancer.OnEnd("i-1", AttemptResult::kBroken, attributes, false, kSecond);
-  attributes.tried = {"i-2"};
+  for (int i = 0; i < 3; ++i) load_balancer.OnEnd("i-1", AttemptResult::kReset, attributes, false, kSecond);
+  attributes.attempted_servers = {"i-2"};
   for (int i = 0; i < 200; ++i) {
-    const Instance* instance = load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond);
+    const Instance* instance =
+        load_balancer.PickServer(directory.Servers("s"), directory, attributes, kSecond);
     REQUIRE(instance != nullptr);
     CHECK(instance->id != "i-0");
     CHECK(instance->id != "i-1");
@@ -154,28 +156,28 @@
   Directory directory = Ten(0, 1);
   const std::vector<const Instance*> one = {directory.Servers("s")[0]};
   LoadBalancer load_balancer(1);
-  const LoadBalancer::RequestAttributes attributes{"m", "", nullptr, 0, {}, 0};
-  for (int i = 0; i < 5; ++i) load_balancer.OnEnd("i-0", AttemptResult::kBroken, attributes, false, kSecond);
-  CHECK(load_balancer.Choose(one, directory, attributes, kSecond) != nullptr);
+  const RequestAttributes attributes{"m", "", nullptr, 0, {}, 0};
+  for (int i = 0; i < 5; ++i) load_balancer.OnEnd("i-0", AttemptResult::kReset, attributes, false, kSecond);
+  CHECK(load_balancer.PickServer(one, directory, attributes, kSecond) != nullptr);
   load_balancer.OnEnd("i-0", AttemptResult::kWrongServer, attributes, true, kSecond);
-  CHECK(load_balancer.Choose(one, directory, attributes, kSecond) == nullptr);
+  CHECK(load_balancer.PickServer(one, directory, attributes, kSecond) == nullptr);
 }
 
 TEST_CASE("A prompt goes where its first parts are kept, unless that server is much busier") {
   const Directory directory = Ten(0, 1);
   LoadBalancer load_balancer(1);
   const std::vector<PromptPart> parts = ParsePromptParts("5c:6000,91:3000");
-  LoadBalancer::RequestAttributes attributes{"m", "", &parts, 9000, {}, 0};
-  const Instance* first = load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond);
+  RequestAttributes attributes{"m", "", &parts, 9000, {}, 0};
+  const Instance* first = load_balancer.PickServer(directory.Servers("s"), directory, attributes, kSecond);
   load_balancer.OnSent(first->id, attributes, kSecond);
-  load_balancer.OnFirstByte(first->id, attributes, true, kSecond);
+  load_balancer.OnFirstByte(first->id, attributes, FirstByteKind::kExecuting, kSecond);
   for (int i = 0; i < 2; ++i) {
-    CHECK(load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond) == first);
+    CHECK(load_balancer.PickServer(directory.Servers("s"), directory, attributes, kSecond) == first);
     load_balancer.OnSent(first->id, attributes, kSecond);
-    load_balancer.OnFirstByte(first->id, attributes, true, kSecond);
+    load_balancer.OnFirstByte(first->id, attributes, FirstByteKind::kExecuting, kSecond);
   }
   for (int i = 0; i < 40; ++i) load_balancer.OnSent(first->id, attributes, kSecond);
-  CHECK(load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond) != first);
+  CHECK(load_balancer.PickServer(directory.Servers("s"), directory, attributes, kSecond) != first);
 }
 
 TEST_CASE("Among servers about as busy, a kept connection decides, then the zone; a busy one is left") {
@@ -189,16 +191,16 @@
   const std::vector<PromptPart> parts = ParsePromptParts("91:3000");  // of its own alone: no homes
   std::string connected;
   LoadBalancer load_balancer(1);
-  load_balancer.SetNear("own", [&](const std::string& id) { return id == connected; });
-  LoadBalancer::RequestAttributes attributes{"m", "", &parts, 3000, {}, 0};
+  load_balancer.SetLocality("own", [&](const std::string& id) { return id == connected; });
+  RequestAttributes attributes{"m", "", &parts, 3000, {}, 0};
   const auto chosen = [&] {
-    return load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond)->id;
+    return load_balancer.PickServer(directory.Servers("s"), directory, attributes, kSecond)->id;
   };
   CHECK(chosen() == "i-4");
   connected = "i-6";
   CHECK(chosen() == "i-6");
   const std::vector<PromptPart> others = ParsePromptParts("bb:9000");
-  LoadBalancer::RequestAttributes large{"other", "", &others, 9000, {}, 0};
+  RequestAttributes large{"other", "", &others, 9000, {}, 0};
   load_balancer.OnSent("i-6", large, kSecond);
   CHECK(chosen() == "i-4");
 }
@@ -206,10 +208,10 @@
 TEST_CASE("Where no prompts are told, a kept connection decides between servers as busy") {
   const Directory directory = Ten(0, 1);
   LoadBalancer load_balancer(1);
-  load_balancer.SetNear("", [](const std::string& id) { return id == "i-3"; });
+  load_balancer.SetLocality("", [](const std::string& id) { return id == "i-3"; });
   std::map<std::string, int> sent;
   for (int i = 0; i < 400; ++i)
-    ++sent[load_balancer.Choose(directory.Servers("s"), directory, {}, kSecond)->id];
+    ++sent[load_balancer.PickServer(directory.Servers("s"), directory, {}, kSecond)->id];
   // Drawn in about a quarter of the pairs, and taken in each of them; half of these without it.
   CHECK(sent["i-3"] > 75);
   CHECK(sent.size() == 8);
@@ -222,7 +224,8 @@
     const Directory directory = Ten(number, 9);
     LoadBalancer load_balancer(static_cast<std::uint64_t>(number));
     chosen.insert(
-        load_balancer.Choose(directory.Servers("s"), directory, {"m", "", &parts, 9000, {}, 0}, kSecond)->id);
+        load_balancer.PickServer(directory.Servers("s"), directory, {"m", "", &parts, 9000, {}, 0}, kSecond)
+            ->id);
   }
   CHECK(chosen.size() <= 2);
 }
@@ -231,16 +234,16 @@
   const Directory directory = Ten(0, 1);
   LoadBalancer load_balancer(1);
   const std::vector<PromptPart> parts = ParsePromptParts("5c:6000,91:3000");
-  LoadBalancer::RequestAttributes attributes{"m", "", &parts, 9000, {}, 0};
-  const Instance* first = load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond);
-  std::vector<LoadBalancer::RequestAttributes> sent(4, attributes);
+  RequestAttributes attributes{"m", "", &parts, 9000, {}, 0};
+  const Instance* first = load_balancer.PickServer(directory.Servers("s"), directory, attributes, kSecond);
+  std::vector<RequestAttributes> sent(4, attributes);
   const std::vector<PromptPart> others = ParsePromptParts("aa:1,bb:9000");
-  for (LoadBalancer::RequestAttributes& one : sent) {
-    one.parts = &others;
+  for (RequestAttributes& one : sent) {
+    one.prompt_parts = &others;
     one.model = "other";
     load_balancer.OnSent(first->id, one, kSecond);
   }
-  CHECK(load_balancer.Choose(directory.Servers("s"), directory, attributes, kSecond) != first);
+  CHECK(load_balancer.PickServer(directory.Servers("s"), directory, attributes, kSecond) != first);
 }
 
 TEST_CASE("A part counts as kept only after the same parts, and memory is bounded") {
@@ -280,17 +283,17 @@
   Random random(1);
   Micros longest = 0;
   for (int i = 0; i < 1000; ++i) {
-    const Micros wait = RetryWait(0, random);
+    const Micros wait = RetryBackoff(0, random);
     CHECK(wait >= 0);
     longest = std::max(longest, wait);
   }
   CHECK(longest <= 60'000);
   CHECK(longest > 50'000);
   longest = 0;
-  for (int i = 0; i < 1000; ++i) longest = std::max(longest, RetryWait(3, random));
+  for (int i = 0; i < 1000; ++i) longest = std::max(longest, RetryBackoff(3, random));
   CHECK(longest > 400'000);
   CHECK(longest <= 480'000);
-  for (int i = 0; i < 100; ++i) CHECK(RetryWait(30, random) <= 2 * kSecond);
+  for (int i = 0; i < 100; ++i) CHECK(RetryBackoff(30, random) <= 2 * kSecond);
 }
 
 TEST_CASE("Settings are checked, each finding with its place, unknown fields are passed over") {
