--- a/src/dataplane/control_client/control_link.hpp
+++ b/src/dataplane/control_client/control_link.hpp
@@ -16,7 +16,7 @@
 #include "dataplane/control_client/control_channel.hpp"
 #include "dataplane/control_client/control_process_selector.hpp"
 #include "dataplane/control_client/system_view.hpp"
-#include "dataplane/routing/directory.hpp"
+#include "dataplane/directory/directory.hpp"
 #include "messages/peer.hpp"
 
 namespace violetwing {
--- a/src/dataplane/control_client/system_view.hpp
+++ b/src/dataplane/control_client/system_view.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "dataplane/routing/directory.hpp"
+#include "dataplane/directory/directory.hpp"
 #include "messages/peer.hpp"
 
 namespace violetwing {
--- a/src/dataplane/routing/directory.hpp
+++ b/src/dataplane/directory/directory.hpp
@@ -1,54 +1,55 @@
-// What a sidecar knows of the system at one time: the configuration, the servers and its own number.
-// Immutable: a change makes a new one, which is swapped in whole.
-#ifndef VIOLETWING_DATAPLANE_ROUTING_DIRECTORY_HPP_
-#define VIOLETWING_DATAPLANE_ROUTING_DIRECTORY_HPP_
+// A sidecar's snapshot of the system: configuration, servers, and its own number among the sidecars. A core:
+// it holds no clock, socket, file or thread.
+#ifndef VIOLETWING_DATAPLANE_DIRECTORY_DIRECTORY_HPP_
+#define VIOLETWING_DATAPLANE_DIRECTORY_DIRECTORY_HPP_
 
+#include <cstdint>
 #include <map>
 #include <memory>
 #include <string>
-#include <string_view>
 #include <vector>
 
 #include "control/configuration/reader.hpp"
+#include "dataplane/directory/route_table.hpp"
 #include "messages/instances.hpp"
 
 namespace violetwing {
 
-// Routes by host and path, of a configuration that outlives it.
-class RouteTable {
- public:
-  RouteTable() = default;
-  explicit RouteTable(const configuration::Configuration& configuration);
-  // The route of that host whose prefix begins the path and is longest; null if there is none. A port in the
-  // host is passed over; letters of either case are the same in it.
-  const configuration::Route* Match(std::string_view host, std::string_view path) const;
-
- private:
-  // By host, the longest prefixes first.
-  std::map<std::string, std::vector<const configuration::Route*>, std::less<>> by_host_;
-};
-
+/// Immutable: a change makes a new directory, which replaces the old one as a whole. Requests in flight keep
+/// the one that they began with. Pointers that it returns are valid as long as it lives.
 class Directory {
  public:
+  /// Without configuration and servers, as after the start.
   Directory() = default;
+  /// `configuration` may be null. `number`: of this sidecar, from 0; `sidecars`: how many there are.
   Directory(const std::shared_ptr<const configuration::Configuration>& configuration,
             const std::map<std::string, Instance>& instances, int number, int sidecars);
-  // What `before` knows, with other servers: its routes need not be sorted again.
-  Directory(const Directory& before, const std::map<std::string, Instance>& instances, int number,
+  /// The configuration and routes of `previous`, which are shared with it, with other servers.
+  Directory(const Directory& previous, const std::map<std::string, Instance>& instances, int number,
             int sidecars);
 
+  /// False until the control plane has sent one.
   bool HasConfiguration() const { return configuration_ != nullptr; }
+  /// Version of the configuration; 0 without one.
   std::int64_t version() const { return configuration_ == nullptr ? 0 : configuration_->version; }
+  /// Limits of the configuration; the defaults without one.
   const configuration::Limits& limits() const;
+  /// Routes of the configuration; empty without one.
   const RouteTable& routes() const { return *routes_; }
+  /// Null for an unknown name.
   const configuration::Backend* FindBackend(const std::string& name) const;
-  // Servers of a service that take requests, sorted by id. They live as long as this directory.
+
+  /// Ready servers of a backend, sorted by id.
   const std::vector<const Instance*>& Servers(const std::string& backend) const;
-  // Of these, those that hold a model, and the adapter of it unless that is empty.
+  /// Of these, those that have loaded a model, and its adapter unless that is empty.
   std::vector<const Instance*> ServersWithModel(const std::string& backend, const std::string& model,
                                                 const std::string& adapter) const;
+  /// An instance in any phase; null for an unknown id.
   const Instance* Find(const std::string& id) const;
+
+  /// Number of this sidecar, from 0.
   int number() const { return number_; }
+  /// At least 1.
   int sidecars() const { return sidecars_; }
 
  private:
@@ -59,7 +60,7 @@
   std::shared_ptr<const configuration::Configuration> configuration_;
   std::shared_ptr<const RouteTable> routes_ = std::make_shared<const RouteTable>();
   std::map<std::string, Instance> instances_;
-  std::map<std::string, std::vector<const Instance*>> servers_;
+  std::map<std::string, std::vector<const Instance*>> servers_;  // by backend
   int number_ = 0;
   int sidecars_ = 1;
 };
@@ -68,4 +69,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_ROUTING_DIRECTORY_HPP_
+#endif  // VIOLETWING_DATAPLANE_DIRECTORY_DIRECTORY_HPP_
--- a/src/dataplane/edge_service.cpp
+++ b/src/dataplane/edge_service.cpp
@@ -74,8 +74,8 @@
   gossip_.SetNeighbors(link_.neighbors());
   const double told_by = static_cast<double>(std::max<std::size_t>(link_.neighbors().size(), 1));
   plane_.load_balancer.SetSidecarsPerReport(std::max(1.0, (plane_.directory->sidecars() - 1) / told_by));
-  const auto waiting = plane_.waiting;
-  for (const auto& forwarder : waiting) forwarder->OnDirectory();
+  const auto waiting = plane_.waiting_for_model;
+  for (const auto& request : waiting) request->OnDirectory();
 }
 
 bool EdgeService::Ready() const { return !stopping_ && plane_.directory->HasConfiguration(); }
@@ -92,7 +92,7 @@
     const Instance* instance = plane_.directory->Find(id);
     return instance != nullptr && instance->phase != Phase::kDeregistered;
   });
-  for (const auto& forwarder : plane_.waiting) forwarder->TellWaiting();
+  for (const auto& request : plane_.waiting_for_model) request->ReportDemand();
   tick_.expires_after(kTick);
   tick_.async_wait([this](const boost::system::error_code& error) {
     if (!error) Tick();
--- a/src/dataplane/load_balancing/load_balancer.hpp
+++ b/src/dataplane/load_balancing/load_balancer.hpp
@@ -15,13 +15,13 @@
 
 #include "common/random.hpp"
 #include "common/time.hpp"
+#include "dataplane/directory/directory.hpp"
 #include "dataplane/load_balancing/attempt_result.hpp"
 #include "dataplane/load_balancing/prefill_estimate.hpp"
 #include "dataplane/load_balancing/prefill_queue.hpp"
 #include "dataplane/load_balancing/request_attributes.hpp"
 #include "dataplane/load_balancing/server_cost.hpp"
 #include "dataplane/load_balancing/server_state.hpp"
-#include "dataplane/routing/directory.hpp"
 #include "messages/load.hpp"
 
 namespace violetwing {
--- a/src/dataplane/load_balancing/server_state.hpp
+++ b/src/dataplane/load_balancing/server_state.hpp
@@ -52,6 +52,7 @@
     return Decayed(reported_.running + 2 * reported_.waiting - in_flight_, now);
   }
 
+  /// Estimate of its prefix cache.
   PrefixCache& prefix_cache() { return prefix_cache_; }
   const PrefixCache& prefix_cache() const { return prefix_cache_; }
 
--- a/src/dataplane/routing/request_router.hpp
+++ b/src/dataplane/routing/request_router.hpp
@@ -1,109 +1,110 @@
-// One request's way through the sidecar: its route, its server, further attempts, its answer.
+// The life of one request in the sidecar: route, backend, server, attempts and retries, final response.
 #ifndef VIOLETWING_DATAPLANE_ROUTING_REQUEST_ROUTER_HPP_
 #define VIOLETWING_DATAPLANE_ROUTING_REQUEST_ROUTER_HPP_
 
-#include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
+#include <chrono>
+#include <cstdint>
 #include <memory>
-#include <set>
 #include <string>
 #include <vector>
 
-#include "common/random.hpp"
-#include "dataplane/control_client/control_link.hpp"
+#include "control/configuration/reader.hpp"
 #include "dataplane/ingress/ingress.hpp"
-#include "dataplane/load_balancing/load_balancer.hpp"
-#include "dataplane/routing/directory.hpp"
-#include "dataplane/routing/retry_budget.hpp"
-#include "dataplane/upstream/upstream.hpp"
+#include "dataplane/load_balancing/request_attributes.hpp"
+#include "dataplane/routing/attempt.hpp"
+#include "dataplane/routing/data_plane.hpp"
+#include "dataplane/routing/end_reason.hpp"
 
 namespace violetwing {
 
-class RequestRouter;
-
-// What all requests of a sidecar share.
-struct DataPlane {
-  boost::asio::io_context& io;
-  DirectoryPtr directory;
-  LoadBalancer load_balancer;
-  RetryBudget budget;
-  UpstreamPool pool;
-  Random random;
-  ControlLink* link = nullptr;
-  // Those that wait for a server that can run them: told of each new directory.
-  std::set<std::shared_ptr<RequestRouter>> waiting;
-};
-
+/// Routes one request. It owns itself by its handlers until it has finished, and runs on the thread of
+/// `plane.io`; `plane` must outlive it. Each request ends once, with one EndReason.
+///
+/// A response of 503 promises that the request was not executed and will not be; if a server may have
+/// executed it and it is not idempotent, the client gets 502 or 504 instead.
 class RequestRouter : public std::enable_shared_from_this<RequestRouter> {
  public:
+  /// Takes the directory that `plane` has now.
   RequestRouter(DataPlane& plane, ClientPtr client, ClientRequest request);
+  /// Begins; call once, on an object owned by a shared_ptr.
   void Start();
-  // There is a new directory.
+  /// There is a new directory: a request that waits for a model tries again.
   void OnDirectory();
-  // It still waits for a model: the placer is told again, as a message may have been lost.
-  void TellWaiting() { CountDemand(true); }
+  /// Reports again that the request waits for its model, as a message to the control plane may be lost.
+  void ReportDemand() { CountDemand(ModelState::kMissing); }
 
  private:
   using Clock = std::chrono::steady_clock;
+  enum class ModelState { kAvailable, kMissing };
+  enum class RetryCost { kFree, kFromBudget };
+  struct Status {
+    int code;
+    const char* phrase;
+  };
+  static constexpr Status kNotFound{404, "Not Found"};
+  static constexpr Status kBadGateway{502, "Bad Gateway"};
+  static constexpr Status kServiceUnavailable{503, "Service Unavailable"};
+  static constexpr Status kGatewayTimeout{504, "Gateway Timeout"};
+  static constexpr double kDefaultRetryAfterS = 0.05;
 
   bool FindRoute();
-  void ReadAttributes();
+  void StartDeadline();
   const configuration::Backend* PickBackend();
+  void ReadAttributes();
+  void CountDemand(ModelState state);
+
   void Dispatch();
-  void Hold();
+  void WaitForModel();
   void Send(const Instance& instance);
-  std::string RequestText(const Instance& instance) const;
 
+  // Events of the attempt in flight.
   void OnHead(const AnswerHead& head);
-  void OnData(std::string_view piece);
-  void OnEnd(ExchangeEnd end);
+  void OnData(std::string_view data);
+  void OnExchangeEnd(ExchangeEnd end);
+  void OnComplete();
+  void OnReset();
+  void OnRejected(AttemptResult result);
   void EndAttempt(AttemptResult result);
-  void RetryOrRefuse();
+  void CancelAttempt();
+
+  void RetryOrReject();
   void RetryOrFail();
-  bool WaitToRetry(bool arrived);
+  // False if no further attempt is allowed or would be in time.
+  bool ScheduleRetry(RetryCost cost);
 
-  // Final answers. A refusal promises that the request has not run and will not.
-  // `come_back_s`: when the client may be served, as far as that is known.
-  void Refuse(const char* why, double come_back_s = 0.05);
-  void Fail(int status, const char* reason, const char* why);
+  // Final responses. Reject promises that the request was not executed; `retry_after_s`: when the client may
+  // be served, as far as that is known.
+  void Reject(EndReason reason, double retry_after_s = kDefaultRetryAfterS);
+  void Fail(const Status& status, EndReason reason);
   void OnDeadline();
-  void OnClientGone();
-  void End();
-  void LogEnd() const;
+  void OnClientDisconnected();
+  void Finish(EndReason reason);
+  void LogFinished(EndReason reason) const;
 
-  bool Repeatable() const { return route_->Repeatable(); }
-  std::int64_t LeftMs() const;
-  void CountDemand(bool waiting);
+  bool IsIdempotent() const { return route_->Repeatable(); }
+  std::int64_t RemainingMs() const;
 
   DataPlane& plane_;
   ClientPtr client_;
   ClientRequest request_;
-  DirectoryPtr directory_;  // holds the route
+  DirectoryPtr directory_;  // of the request's start: owns the route
   const configuration::Route* route_ = nullptr;
   const configuration::Backend* backend_ = nullptr;
   std::string request_id_;
-  std::vector<PromptPart> parts_;
+  std::vector<PromptPart> prompt_parts_;
   RequestAttributes attributes_;
-  double tokens_ = 0;  // of prompt and answer, in tokens read
+  double prefill_equivalent_tokens_ = 0;  // TokenCounts::PrefillEquivalent
   Clock::time_point deadline_;
   boost::asio::steady_timer deadline_timer_;
-  boost::asio::steady_timer pause_;
+  boost::asio::steady_timer backoff_timer_;  // also limits the wait for a model
 
-  std::shared_ptr<UpstreamExchange> exchange_;
-  std::string server_;  // id, of the attempt at hand
-  Clock::time_point sent_at_;
-  Clock::time_point first_byte_at_;
-  const char* outcome_ = "";  // for the log
-  int attempts_ = 0;          // that may have reached a server
-  int refusals_ = 0;
-  int unreachable_ = 0;
-  bool may_have_run_ = false;
-  bool answered_ = false;      // the attempt at hand has a first byte
-  bool refused_ = false;       // the attempt at hand was turned away
-  bool wrong_server_ = false;  // and has said that it is not the one that was meant, or lacks the model
-  bool demanded_ = false;
-  bool held_ = false;
-  bool over_ = false;
+  Attempt attempt_;
+  AttemptCounter attempt_counter_;
+  bool may_have_executed_ = false;
+  bool demand_counted_ = false;
+  bool waited_for_model_ = false;
+  bool finished_ = false;
 };
 
 }  // namespace violetwing
--- a/src/dataplane/routing/retry_budget.cpp
+++ b/src/dataplane/routing/retry_budget.cpp
@@ -5,37 +5,31 @@
 namespace violetwing {
 namespace {
 
-// Below the service's own base: aims are a third of a second here, and a repeat that waits longer is late.
-constexpr Micros kBase = 60'000;
-constexpr Micros kCap = 2'000'000;
-// What is left unspent, as windows slide and requests of other sidecars are counted by the server's clock.
-constexpr double kMargin = 0.8;
+// Share of the budget that is used: the backend counts the requests of all sidecars in a window of its own
+// clock, which slides at other moments than ours.
+constexpr double kUsableShare = 0.8;
 
 }  // namespace
 
-Micros RetryBackoff(int refusals, Random& random) {
-  const Micros bound = std::min(kCap, kBase << std::min(refusals, 10));
-  return static_cast<Micros>(random.Below(static_cast<std::uint64_t>(bound) + 1));
-}
-
-void RetryBudget::Forget(Use& use, Micros now) const {
-  while (!use.requests.empty() && use.requests.front() < now - window_) use.requests.pop_front();
-  while (!use.repeats.empty() && use.repeats.front() < now - window_) use.repeats.pop_front();
+void RetryBudget::RemoveExpired(Usage& usage, Micros now) const {
+  const Micros oldest = now - window_;
+  while (!usage.requests.empty() && usage.requests.front() < oldest) usage.requests.pop_front();
+  while (!usage.retries.empty() && usage.retries.front() < oldest) usage.retries.pop_front();
 }
 
 void RetryBudget::OnRequest(const std::string& backend, Micros now) {
-  Use& use = uses_[backend];
-  use.requests.push_back(now);
-  Forget(use, now);
+  Usage& usage = usages_[backend];
+  usage.requests.push_back(now);
+  RemoveExpired(usage, now);
 }
 
-bool RetryBudget::Spend(const std::string& backend, int sidecars, Micros now) {
-  Use& use = uses_[backend];
-  Forget(use, now);
+bool RetryBudget::TrySpend(const std::string& backend, int sidecars, Micros now) {
+  Usage& usage = usages_[backend];
+  RemoveExpired(usage, now);
   const double slack = now - started_at_ < window_ ? 0 : slack_ / std::max(sidecars, 1);
-  const double most = kMargin * (ratio_ * static_cast<double>(use.requests.size()) + slack);
-  if (static_cast<double>(use.repeats.size()) + 1 > most) return false;
-  use.repeats.push_back(now);
+  const double max_retries = kUsableShare * (ratio_ * static_cast<double>(usage.requests.size()) + slack);
+  if (static_cast<double>(usage.retries.size()) + 1 > max_retries) return false;
+  usage.retries.push_back(now);
   return true;
 }
 
--- /dev/null
+++ b/src/dataplane/routing/upstream_request.cpp
@@ -0,0 +1,52 @@
+#include "dataplane/routing/upstream_request.hpp"
+
+#include <algorithm>
+#include <cstdio>
+
+namespace violetwing {
+namespace {
+
+// Decoding a token takes as long as prefilling so many.
+constexpr double kPrefillTokensPerDecoded = 10;
+// Room for the fields beside the body; only saves reallocations.
+constexpr std::size_t kExpectedHeadBytes = 1024;
+
+// Set by the sidecar itself, or settled before the request is sent.
+bool IsReplaced(const Field& header) {
+  return SameName(header.name, field::kDeadline) || SameName(header.name, field::kExpectedInstance) ||
+         SameName(header.name, "Expect");
+}
+
+}  // namespace
+
+std::string BuildUpstreamRequest(const ClientRequest& request, const std::string& instance_id,
+                                 std::int64_t remaining_ms) {
+  std::string text;
+  text.reserve(request.body.size() + kExpectedHeadBytes);
+  text += request.method + " " + request.target + " HTTP/1.1\r\n";
+  for (const Field& header : request.fields)
+    if (!IsReplaced(header)) AppendField(text, header.name, header.value);
+  AppendField(text, field::kDeadline, std::to_string(std::max<std::int64_t>(remaining_ms, 1)));
+  AppendField(text, field::kExpectedInstance, instance_id);
+  if (request.has_length || !request.body.empty())
+    AppendField(text, "Content-Length", std::to_string(request.body.size()));
+  text += "\r\n";
+  text += request.body;
+  return text;
+}
+
+ServerLoad ParseServerLoad(const std::string& text) {
+  ServerLoad load;
+  std::sscanf(text.c_str(), "%d,%d,%d", &load.running, &load.waiting, &load.slots);
+  return load;
+}
+
+double TokenCounts::PrefillEquivalent() const { return prompt + kPrefillTokensPerDecoded * max_output; }
+
+TokenCounts ParseTokenCounts(const std::string& text) {
+  TokenCounts counts;
+  std::sscanf(text.c_str(), "%lf,%lf", &counts.prompt, &counts.max_output);
+  return counts;
+}
+
+}  // namespace violetwing
--- /dev/null
+++ b/src/dataplane/routing/upstream_request.hpp
@@ -0,0 +1,35 @@
+// The header fields by which the sidecar and the servers talk about one request, and its text to a server.
+#ifndef VIOLETWING_DATAPLANE_ROUTING_UPSTREAM_REQUEST_HPP_
+#define VIOLETWING_DATAPLANE_ROUTING_UPSTREAM_REQUEST_HPP_
+
+#include <cstdint>
+#include <string>
+
+#include "dataplane/ingress/ingress.hpp"
+#include "dataplane/load_balancing/server_state.hpp"
+
+namespace violetwing {
+
+/// Head and body of the request as it is sent to an instance: the client's, with the deadline set to
+/// `remaining_ms` (at least 1) and the expected instance named.
+std::string BuildUpstreamRequest(const ClientRequest& request, const std::string& instance_id,
+                                 std::int64_t remaining_ms);
+
+/// Parses X-Violetwing-Server-Load, "running,waiting,slots"; what is missing or malformed stays 0.
+ServerLoad ParseServerLoad(const std::string& text);
+
+/// Token counts of a request from X-Violetwing-Token-Count, "prompt,max_output".
+struct TokenCounts {
+  double prompt = 0;
+  double max_output = 0;
+
+  /// Cost of prefill and decode together, in prefilled tokens.
+  double PrefillEquivalent() const;
+};
+
+/// What is missing or malformed stays 0.
+TokenCounts ParseTokenCounts(const std::string& text);
+
+}  // namespace violetwing
+
+#endif  // VIOLETWING_DATAPLANE_ROUTING_UPSTREAM_REQUEST_HPP_
--- a/tests/dataplane/dataplane_test.cpp
+++ b/tests/dataplane/dataplane_test.cpp
@@ -102,8 +102,8 @@
     plane.directory =
         std::make_shared<const Directory>(configuration::Read(kModelConfiguration).configuration,
                                           std::map<std::string, Instance>{{instance.id, instance}}, 0, 1);
-    const auto waiting = plane.waiting;
-    for (const auto& forwarder : waiting) forwarder->OnDirectory();
+    const auto waiting = plane.waiting_for_model;
+    for (const auto& request : waiting) request->OnDirectory();
   }
   bool Until(const std::function<bool()>& done) { return RunUntil(io, done); }
 
@@ -389,7 +389,7 @@
         model + "\r\n\r\n");
   };
   const auto held = ask("m");
-  REQUIRE(sidecar.Until([&] { return !sidecar.plane.waiting.empty(); }));
+  REQUIRE(sidecar.Until([&] { return !sidecar.plane.waiting_for_model.empty(); }));
   const auto refused = ask("slow");
   REQUIRE(sidecar.Until([&] { return Has(refused, "503"); }));
   CHECK(Has(refused, "Retry-After"));
--- a/tests/dataplane/routing/routing_test.cpp
+++ b/tests/dataplane/routing/routing_test.cpp
@@ -4,9 +4,11 @@
 
 #include "common/node_settings.hpp"
 #include "dataplane/control_client/control_process_selector.hpp"
+#include "dataplane/directory/directory.hpp"
+#include "dataplane/directory/route_table.hpp"
 #include "dataplane/http/http_text.hpp"
 #include "dataplane/load_balancing/load_balancer.hpp"
-#include "dataplane/routing/directory.hpp"
+#include "dataplane/routing/retry_backoff.hpp"
 #include "dataplane/routing/retry_budget.hpp"
 #include "testing/model_servers.hpp"
 
@@ -267,7 +269,7 @@
   for (Micros now = 20 * kSecond; now < 30 * kSecond; now += kSecond / 10)
     for (RetryBudget& budget : budgets) {
       budget.OnRequest("s", now);
-      for (int i = 0; i < 5; ++i) spent += budget.Spend("s", kSidecars, now);
+      for (int i = 0; i < 5; ++i) spent += budget.TrySpend("s", kSidecars, now);
     }
   CHECK(spent <= 0.2 * 900 + 58);
   CHECK(spent >= 0.5 * (0.2 * 900 + 58));
@@ -275,8 +277,8 @@
 
 TEST_CASE("A sidecar that has just started spends nothing of the slack") {
   RetryBudget budget(0.2, 58, 10, 0);
-  CHECK_FALSE(budget.Spend("s", 1, kSecond));
-  CHECK(budget.Spend("s", 1, 11 * kSecond));
+  CHECK_FALSE(budget.TrySpend("s", 1, kSecond));
+  CHECK(budget.TrySpend("s", 1, 11 * kSecond));
 }
 
 TEST_CASE("Waits are jittered fully under a bound that doubles up to a cap") {
--- a/tests/testing/model_servers.hpp
+++ b/tests/testing/model_servers.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "dataplane/routing/directory.hpp"
+#include "dataplane/directory/directory.hpp"
 
 namespace violetwing::testing {
 
