--- a/src/dataplane/control_client/control_channel.hpp
+++ b/src/dataplane/control_client/control_channel.hpp
@@ -1,5 +1,5 @@
-// Calls of a sidecar to one control process at a time, over a connection that is kept from call to call: a
-// new one for each would cost both sides more than the call itself.
+// HTTP calls of a sidecar to one control process at a time, over a persistent connection: a new one for each
+// call would cost both sides more than the call itself.
 #ifndef VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_CHANNEL_HPP_
 #define VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_CHANNEL_HPP_
 
@@ -16,24 +16,29 @@
 
 namespace violetwing {
 
+/// Client of the control plane, for idempotent calls. Used on the thread of `io`.
 class ControlChannel {
  public:
+  /// Address of a control process.
   using Endpoint = boost::asio::ip::tcp::endpoint;
-  // `status` is 0 if there was no whole answer.
-  using Done = std::function<void(int status, const std::string& body)>;
+  /// Gets the HTTP status and body of the response; `status` is 0 if there was no complete one.
+  using Callback = std::function<void(int status, const std::string& body)>;
 
-  // `silence`: a call without progress for so long has failed. No call lasts longer than twice that.
-  ControlChannel(boost::asio::io_context& io, std::chrono::milliseconds silence)
-      : io_(io), silence_(silence) {}
+  /// `progress_timeout`: a call without progress for so long has failed. No call lasts longer than twice
+  /// that.
+  ControlChannel(boost::asio::io_context& io, std::chrono::milliseconds progress_timeout)
+      : io_(io), progress_timeout_(progress_timeout) {}
+  /// Stops it.
   ~ControlChannel() { Stop(); }
   ControlChannel(const ControlChannel&) = delete;
   ControlChannel& operator=(const ControlChannel&) = delete;
 
-  // One call at a time. A kept connection that turns out to be closed is replaced, once, as calls of sidecars
-  // may be repeated.
-  void Post(const Endpoint& to, const std::string& target, std::string body, Done done);
+  /// Starts a call; there must be none in flight. If the persistent connection turns out to be closed, the
+  /// call is retried once on a new one.
+  void Post(const Endpoint& to, const std::string& target, std::string body, Callback callback);
+  /// True while a call is in flight.
   bool busy() const { return call_ != nullptr; }
-  // Nothing is told from now on.
+  /// Cancels the call in flight: its callback is not called.
   void Stop();
 
  private:
@@ -49,24 +54,24 @@
     std::shared_ptr<Connection> connection;
     std::chrono::steady_clock::time_point deadline;
     bool reused = false;
-    bool over = false;
-    Done done;
+    bool finished = false;
+    Callback callback;
   };
   using CallPtr = std::shared_ptr<Call>;
 
   void Connect(const CallPtr& call);
   void Write(const CallPtr& call);
   void Read(const CallPtr& call);
-  void LimitTime(const Call& call) const;
-  // The call's connection is of no more use.
-  void Fail(const CallPtr& call);
-  void End(const CallPtr& call, int status, const std::string& body);
+  void ArmTimeout(const Call& call) const;
+  // The call's connection is broken.
+  void RetryOrFail(const CallPtr& call);
+  void Finish(const CallPtr& call, int status, const std::string& body);
 
   boost::asio::io_context& io_;
-  const std::chrono::milliseconds silence_;
+  const std::chrono::milliseconds progress_timeout_;
   Endpoint peer_;
-  std::shared_ptr<Connection> kept_;  // to `peer_`, without a call
-  CallPtr call_;                      // under way
+  std::shared_ptr<Connection> idle_connection_;  // to `peer_`
+  CallPtr call_;                                 // in flight
 };
 
 }  // namespace violetwing
--- a/src/dataplane/control_client/control_link.cpp
+++ b/src/dataplane/control_client/control_link.cpp
@@ -15,114 +15,116 @@
 
 using std::chrono::milliseconds;
 
-// How long a pull waits for news at the control process.
-constexpr int kWaitMs = 400;
-// Without an answer for so long, the process or the way to it is taken for broken.
-constexpr milliseconds kSilence{kWaitMs + 300};
-constexpr milliseconds kPauseAfterFailure{100};
-// What is waited for is reported after so long, together with what else comes by then.
-constexpr milliseconds kDemandAfter{3};
+// How long a watch request waits at the control process for an update.
+constexpr int kLongPollMs = 400;
+// Without a response for so long, the process or the network to it counts as failed.
+constexpr milliseconds kProgressTimeout{kLongPollMs + 300};
+constexpr milliseconds kRetryDelay{100};
+// Immediate demand waits a little, so that one report includes what comes right after it.
+constexpr milliseconds kDemandReportDelay{3};
 
 }  // namespace
 
 ControlLink::ControlLink(boost::asio::io_context& io, const NodeSettings& settings,
-                         std::function<void(DirectoryPtr)> changed)
+                         std::function<void(DirectoryPtr)> on_directory)
     : io_(io),
-      changed_(std::move(changed)),
-      pause_(io),
-      demand_soon_(io),
-      pulls_(io, kSilence),
-      reports_(io, kSilence),
+      on_directory_(std::move(on_directory)),
+      retry_timer_(io),
+      demand_timer_(io),
+      watch_channel_(io, kProgressTimeout),
+      demand_channel_(io, kProgressTimeout),
       view_(settings.node_name, settings.InternalAddress()),
-      choice_(settings.zone, settings.node_name) {
+      selector_(settings.zone, settings.node_name) {
   Reload(settings);
 }
 
 void ControlLink::Reload(const NodeSettings& settings) {
   std::vector<std::string> seeds;
   for (const std::string& seed : settings.seeds) seeds.push_back(settings.InternalAddressOf(seed));
-  choice_.SetSeeds(std::move(seeds));
+  selector_.SetSeeds(std::move(seeds));
 }
 
-void ControlLink::Start() { Pull(); }
+void ControlLink::Start() { Watch(); }
 
 void ControlLink::Stop() {
   stopped_ = true;
-  pause_.cancel();
-  demand_soon_.cancel();
-  pulls_.Stop();
-  reports_.Stop();
+  retry_timer_.cancel();
+  demand_timer_.cancel();
+  watch_channel_.Stop();
+  demand_channel_.Stop();
 }
 
-void ControlLink::Pull() {
+void ControlLink::Watch() {
   if (stopped_) return;
-  const auto endpoint = ParseEndpoint(choice_.Current(view_.controls()));
+  const auto endpoint = ParseEndpoint(selector_.Current(view_.controls()));
   if (!endpoint) return OnWatched(0, {});
-  pulls_.Post(*endpoint, kWatchPath, Encode(view_.NextPull(kWaitMs, TakeDemand())),
-              [this](int status, const std::string& body) { OnWatched(status, body); });
+  watch_channel_.Post(*endpoint, kWatchPath, Encode(view_.NextWatchRequest(kLongPollMs, TakeDemand())),
+                      [this](int status, const std::string& body) { OnWatched(status, body); });
 }
 
 void ControlLink::OnWatched(int status, const std::string& body) {
   if (stopped_) return;
-  if (status == 200 && Take(body)) {
-    choice_.OnAnswered(view_.controls(), SteadyMicros());
-    boost::asio::post(io_, [this] { Pull(); });
+  if (status == 200 && ApplyReply(body)) {
+    selector_.OnAnswered(view_.controls(), SteadyMicros());
+    boost::asio::post(io_, [this] { Watch(); });
     return;
   }
-  choice_.OnFailed(view_.controls(), SteadyMicros());
-  pause_.expires_after(kPauseAfterFailure);
-  pause_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) Pull();
+  selector_.OnFailed(view_.controls(), SteadyMicros());
+  retry_timer_.expires_after(kRetryDelay);
+  retry_timer_.async_wait([this](const boost::system::error_code& error) {
+    if (!error) Watch();
   });
 }
 
-bool ControlLink::Take(const std::string& body) {
+bool ControlLink::ApplyReply(const std::string& body) {
   const auto reply = Decode<WatchReply>(body);
   if (!reply) {
-    spdlog::warn("the answer of {} cannot be read", choice_.Current(view_.controls()));
+    spdlog::warn("watch reply malformed control={}", selector_.Current(view_.controls()));
     return false;
   }
   try {
-    if (view_.Take(*reply)) changed_(view_.MakeDirectory());
+    if (view_.Apply(*reply)) on_directory_(view_.MakeDirectory());
     return true;
   } catch (const std::exception& error) {  // a configuration of another form than ours
-    spdlog::warn("the answer of {} cannot be taken: {}", choice_.Current(view_.controls()), error.what());
+    spdlog::warn("watch reply not applied control={} error={}", selector_.Current(view_.controls()),
+                 error.what());
     return false;
   }
 }
 
 // ---- Demand ----
 
-void ControlLink::CountDemand(const ModelDemand& demand, bool urgent) {
+void ControlLink::CountDemand(const ModelDemand& demand, DemandUrgency urgency) {
   ModelDemand& sum = demand_[{demand.backend, demand.model}];
   sum.backend = demand.backend;
   sum.model = demand.model;
   sum.requests += demand.requests;
   sum.tokens += demand.tokens;
   sum.waiting += demand.waiting;
-  demand_urgent_ = demand_urgent_ || urgent;
-  if (!urgent || std::exchange(demand_pending_, true)) return;
-  demand_soon_.expires_after(kDemandAfter);
-  demand_soon_.async_wait([this](const boost::system::error_code& error) {
+  const bool immediate = urgency == DemandUrgency::kImmediate;
+  demand_urgent_ = demand_urgent_ || immediate;
+  if (!immediate || std::exchange(demand_pending_, true)) return;
+  demand_timer_.expires_after(kDemandReportDelay);
+  demand_timer_.async_wait([this](const boost::system::error_code& error) {
     demand_pending_ = false;
     if (!error && !stopped_) SendDemand();
   });
 }
 
 std::vector<ModelDemand> ControlLink::TakeDemand() {
-  std::vector<ModelDemand> out;
-  for (auto& [key, sum] : demand_) out.push_back(std::move(sum));
+  std::vector<ModelDemand> demand;
+  for (auto& [key, sum] : demand_) demand.push_back(std::move(sum));
   demand_.clear();
   demand_urgent_ = false;
-  return out;
+  return demand;
 }
 
 void ControlLink::SendDemand() {
-  const auto endpoint = ParseEndpoint(choice_.Current(view_.controls()));
+  const auto endpoint = ParseEndpoint(selector_.Current(view_.controls()));
   if (!endpoint || demand_.empty()) return;
-  // What comes meanwhile goes with the next report, or with the next pull.
-  if (reports_.busy()) return;
-  reports_.Post(*endpoint, kDemandPath, Encode(TakeDemand()), [this](int, const std::string&) {
+  // Demand that comes meanwhile is sent with the next report or watch request.
+  if (demand_channel_.busy()) return;
+  demand_channel_.Post(*endpoint, kDemandPath, Encode(TakeDemand()), [this](int, const std::string&) {
     if (!demand_.empty() && std::exchange(demand_urgent_, false)) SendDemand();
   });
 }
--- a/src/dataplane/control_client/control_link.hpp
+++ b/src/dataplane/control_client/control_link.hpp
@@ -1,6 +1,6 @@
-// A sidecar's link to the control plane: pulls what it misses from one control process at a time, and goes on
-// to the next when that one is silent or out of touch. Sockets and timers only: what is known is in
-// system_view.hpp, who is asked in control_choice.hpp.
+// A sidecar's link to the control plane: it watches one control process by long polls, fails over to another
+// when that one does not respond, and reports the demand for models. Sockets and timers only: system_view.hpp
+// holds the state, control_process_selector.hpp picks the control process.
 #ifndef VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_LINK_HPP_
 #define VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_LINK_HPP_
 
@@ -21,41 +21,51 @@
 
 namespace violetwing {
 
+/// How soon the control plane should get a report of demand.
+enum class DemandUrgency {
+  kDeferred,   ///< with the next report or watch request
+  kImmediate,  ///< a request waits for the model
+};
+
+/// Keeps the sidecar's directory up to date. Used on the thread of `io`.
 class ControlLink {
  public:
-  // `changed` is called with each new directory.
+  /// `on_directory` is called with each new directory.
   ControlLink(boost::asio::io_context& io, const NodeSettings& settings,
-              std::function<void(DirectoryPtr)> changed);
+              std::function<void(DirectoryPtr)> on_directory);
 
+  /// Begins to watch.
   void Start();
+  /// Cancels all calls; the callback is not called any more.
   void Stop();
+  /// Takes the seeds of new settings; nothing else may change.
   void Reload(const NodeSettings& settings);
 
-  // Counts towards the next report; what waits is reported at once.
-  void CountDemand(const ModelDemand& demand, bool urgent);
+  /// Adds to the demand that is reported next.
+  void CountDemand(const ModelDemand& demand, DemandUrgency urgency);
 
-  // Addresses of the sidecars that are to hear of this one's load.
+  /// Addresses of the sidecars to which this one sends its load reports.
   const std::vector<std::string>& neighbors() const { return view_.neighbors(); }
 
  private:
-  void Pull();
+  void Watch();
   void OnWatched(int status, const std::string& body);
-  bool Take(const std::string& body);
+  bool ApplyReply(const std::string& body);
   std::vector<ModelDemand> TakeDemand();
   void SendDemand();
 
   boost::asio::io_context& io_;
-  const std::function<void(DirectoryPtr)> changed_;
-  boost::asio::steady_timer pause_;
-  boost::asio::steady_timer demand_soon_;
+  const std::function<void(DirectoryPtr)> on_directory_;
+  boost::asio::steady_timer retry_timer_;
+  boost::asio::steady_timer demand_timer_;
   bool demand_pending_ = false;
-  bool demand_urgent_ = false;  // a request waits for some of it
-  ControlChannel pulls_;
-  ControlChannel reports_;  // of demand: a pull may be waiting for news meanwhile
+  bool demand_urgent_ = false;  // a request waits for one of its models
+  ControlChannel watch_channel_;
+  ControlChannel demand_channel_;  // of its own, as a watch request may be waiting for an update
   bool stopped_ = false;
 
   SystemView view_;
-  ControlProcessSelector choice_;
+  ControlProcessSelector selector_;
   std::map<std::pair<std::string, std::string>, ModelDemand> demand_;
 };
 
--- a/src/dataplane/control_client/control_process_selector.cpp
+++ b/src/dataplane/control_client/control_process_selector.cpp
@@ -5,8 +5,8 @@
 namespace violetwing {
 namespace {
 
-// After a failure the own zone's control process is not asked again for so long.
-constexpr Micros kComeBackAfter = 5'000'000;
+// After a failure a sidecar stays away from its own zone's control processes for so long.
+constexpr Micros kFailBackDelay = 5'000'000;
 
 }  // namespace
 
@@ -15,24 +15,25 @@
   return current_;
 }
 
-std::vector<std::string> ControlProcessSelector::OwnZone(const std::vector<ControlNode>& known) const {
-  std::vector<std::string> out;
+std::vector<std::string> ControlProcessSelector::AddressesInOwnZone(
+    const std::vector<ControlNode>& known) const {
+  std::vector<std::string> addresses;
   for (const ControlNode& node : known)
-    if (node.zone == zone_) out.push_back(node.address);
-  return out;
+    if (node.zone == zone_) addresses.push_back(node.address);
+  return addresses;
 }
 
-void ControlProcessSelector::Sort(std::vector<std::string>& addresses) const {
+void ControlProcessSelector::SortByPreference(std::vector<std::string>& addresses) const {
   std::sort(addresses.begin(), addresses.end(),
             [this](const std::string& a, const std::string& b) { return Hash(order_, a) < Hash(order_, b); });
 }
 
 void ControlProcessSelector::OnAnswered(const std::vector<ControlNode>& known, Micros now) {
   failed_.clear();
-  const bool lately = failed_at_ > 0 && now - failed_at_ < kComeBackAfter;
-  const std::vector<std::string> own = OwnZone(known);
+  const bool failed_recently = failed_at_ > 0 && now - failed_at_ < kFailBackDelay;
+  const std::vector<std::string> own = AddressesInOwnZone(known);
   const bool in_own = std::find(own.begin(), own.end(), current_) != own.end();
-  if (!lately && !own.empty() && (from_seeds_ || !in_own)) Pick(known);
+  if (!failed_recently && !own.empty() && (from_seeds_ || !in_own)) Pick(known);
 }
 
 void ControlProcessSelector::OnFailed(const std::vector<ControlNode>& known, Micros now) {
@@ -41,36 +42,36 @@
   Pick(known);
 }
 
-// Those of the own zone first, then the others that are known, then the seeds.
+// Control processes of the sidecar's zone first, then the other known ones, then the seeds.
 std::vector<std::string> ControlProcessSelector::Candidates(const std::vector<ControlNode>& known) const {
-  std::vector<std::string> out = OwnZone(known);
-  Sort(out);
+  std::vector<std::string> addresses = AddressesInOwnZone(known);
+  SortByPreference(addresses);
   const auto missing = [&](const std::string& address) {
-    return std::find(out.begin(), out.end(), address) == out.end();
+    return std::find(addresses.begin(), addresses.end(), address) == addresses.end();
   };
   std::vector<std::string> others;
   for (const ControlNode& node : known)
     if (missing(node.address)) others.push_back(node.address);
-  Sort(others);
-  out.insert(out.end(), others.begin(), others.end());
+  SortByPreference(others);
+  addresses.insert(addresses.end(), others.begin(), others.end());
   for (const std::string& seed : seeds_)
-    if (missing(seed)) out.push_back(seed);
-  return out;
+    if (missing(seed)) addresses.push_back(seed);
+  return addresses;
 }
 
 void ControlProcessSelector::Pick(const std::vector<ControlNode>& known) {
   const std::vector<std::string> candidates = Candidates(known);
-  std::vector<std::string> untried;
+  std::vector<std::string> not_failed;
   for (const std::string& address : candidates)
-    if (std::find(failed_.begin(), failed_.end(), address) == failed_.end()) untried.push_back(address);
-  if (untried.empty()) {
+    if (std::find(failed_.begin(), failed_.end(), address) == failed_.end()) not_failed.push_back(address);
+  if (not_failed.empty()) {
     failed_.clear();
-    untried = candidates;
+    not_failed = candidates;
   }
-  if (untried.empty()) return;
-  // Seeds are taken by chance, so that not all sidecars ask the first.
+  if (not_failed.empty()) return;
+  // A random seed, so that not all sidecars start at the first one.
   from_seeds_ = known.empty();
-  current_ = from_seeds_ ? untried[random_.Below(untried.size())] : untried.front();
+  current_ = from_seeds_ ? not_failed[random_.Below(not_failed.size())] : not_failed.front();
 }
 
 }  // namespace violetwing
--- a/src/dataplane/control_client/control_process_selector.hpp
+++ b/src/dataplane/control_client/control_process_selector.hpp
@@ -1,8 +1,8 @@
-// Which control process a sidecar asks: one of its own zone where it knows of any, else another that it knows
-// of, else a seed; the next when that one has failed. Among those of a zone each sidecar has an order of its
-// own, by a hash of both names, so that all have their part of the sidecars. It comes back to its own zone
-// some time after a failure there, as bytes between zones are dear. A core: it holds no clock, socket, file
-// or thread.
+// Picks the control process that a sidecar watches: one of its own zone if any is known, else another known
+// one, else a seed; after a failure the next one. Within a zone each sidecar has its own order of preference,
+// by a hash of both names (rendezvous hashing), which spreads the sidecars over the control processes. Some
+// time after a failure it fails back to its own zone, as traffic between zones is expensive. A core: it holds
+// no clock, socket, file or thread.
 #ifndef VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_PROCESS_SELECTOR_HPP_
 #define VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_PROCESS_SELECTOR_HPP_
 
@@ -16,32 +16,36 @@
 
 namespace violetwing {
 
+/// `known` is always the list of control processes from the latest watch reply; times are of the steady
+/// clock.
 class ControlProcessSelector {
  public:
-  // `name` draws the sidecars apart.
+  /// Zone and unique name of the sidecar; the name seeds its order of preference.
   ControlProcessSelector(std::string zone, const std::string& name)
       : zone_(std::move(zone)), order_(Hash(0, name)), random_(1, name) {}
 
-  // Internal addresses of the seeds, in the order of the settings.
+  /// Internal addresses of the seeds.
   void SetSeeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
-  // The internal address to ask; empty while none is known.
+  /// Internal address of the control process to call; empty while none is known.
   const std::string& Current(const std::vector<ControlNode>& known);
+  /// The current one responded: may fail back to the own zone.
   void OnAnswered(const std::vector<ControlNode>& known, Micros now);
+  /// The current one failed: the next one becomes current.
   void OnFailed(const std::vector<ControlNode>& known, Micros now);
 
  private:
   std::vector<std::string> Candidates(const std::vector<ControlNode>& known) const;
   void Pick(const std::vector<ControlNode>& known);
 
-  std::vector<std::string> OwnZone(const std::vector<ControlNode>& known) const;
-  // In the order of this sidecar.
-  void Sort(std::vector<std::string>& addresses) const;
+  std::vector<std::string> AddressesInOwnZone(const std::vector<ControlNode>& known) const;
+  // By the order of preference of this sidecar.
+  void SortByPreference(std::vector<std::string>& addresses) const;
 
   const std::string zone_;
   const std::uint64_t order_;  // seeds the hash of an address
   Random random_;
   std::vector<std::string> seeds_;
-  std::vector<std::string> failed_;  // since one last answered
+  std::vector<std::string> failed_;  // since one last responded
   std::string current_;
   bool from_seeds_ = false;  // `current_` was picked while nothing but the seeds was known
   Micros failed_at_ = 0;     // when one last failed
--- a/src/dataplane/control_client/system_view.cpp
+++ b/src/dataplane/control_client/system_view.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 namespace violetwing {
-WatchRequest SystemView::NextPull(int wait_ms, std::vector<ModelDemand> demand) const {
+WatchRequest SystemView::NextWatchRequest(int wait_ms, std::vector<ModelDemand> demand) const {
   WatchRequest request;
   request.node = node_;
   request.address = address_;
@@ -15,79 +15,83 @@
   request.source = source_;
   request.configuration = version();
   request.takes_patches = takes_patches_;
-  request.known = known_;
+  request.known = version_vector_;
   request.wait_ms = wait_ms;
   request.demand = std::move(demand);
   return request;
 }
 
-bool SystemView::Take(const WatchReply& reply) {
-  const bool moved = reply.number != number_ || reply.sidecars != sidecars_;
-  const bool configured = TakeConfiguration(reply);
-  const bool listed = TakeInstances(reply);
+bool SystemView::Apply(const WatchReply& reply) {
+  const bool renumbered = reply.number != number_ || reply.sidecars != sidecars_;
+  const bool configuration_changed = ApplyConfiguration(reply);
+  const bool instances_changed = ApplyInstances(reply);
   source_ = reply.source;
   controls_ = reply.controls;
-  const bool met = reply.neighbors.hash != neighbors_.hash;
-  if (met) neighbors_ = reply.neighbors;
+  const bool neighbors_changed = reply.neighbors.hash != neighbors_.hash;
+  if (neighbors_changed) neighbors_ = reply.neighbors;
   number_ = reply.number;
   sidecars_ = reply.sidecars;
-  return moved || configured || listed || met;
+  return renumbered || configuration_changed || instances_changed || neighbors_changed;
 }
 
-bool SystemView::TakeConfiguration(const WatchReply& reply) {
+bool SystemView::ApplyConfiguration(const WatchReply& reply) {
   if (reply.configuration <= version()) return false;
   if (reply.document.empty() && reply.patches.empty()) return false;
   std::optional<configuration::ReadResult> read = ReadConfiguration(reply);
-  takes_patches_ = read && read->configuration != nullptr;  // else the whole document is asked for
+  takes_patches_ = read && read->configuration != nullptr;  // else the full document is requested next
   if (!takes_patches_) {
-    spdlog::error("version {} cannot be read: {}", reply.configuration,
-                  read ? ToText(read->findings) : "its patches do not fit the version held");
+    spdlog::error("configuration rejected version={} findings={}", reply.configuration,
+                  read ? ToText(read->findings) : "patches do not apply to the current version");
     return false;
   }
   configuration_ = std::move(read->configuration);
-  message_ = std::move(read->message);
-  routing_ = std::make_shared<const Directory>(configuration_, std::map<std::string, Instance>(), 0, 1);
-  spdlog::info("configuration of version {} is in force", version());
+  configuration_message_ = std::move(read->message);
+  base_directory_ =
+      std::make_shared<const Directory>(configuration_, std::map<std::string, Instance>(), 0, 1);
+  spdlog::info("configuration applied version={}", version());
   return true;
 }
 
-// Nothing where patches do not lead from the version held to the answer's.
+// Empty if the patches do not lead from the current version to the reply's.
 std::optional<configuration::ReadResult> SystemView::ReadConfiguration(const WatchReply& reply) const {
   if (reply.patches.empty()) return configuration::Read(reply.document);
-  if (message_ == nullptr) return std::nullopt;
+  if (configuration_message_ == nullptr) return std::nullopt;
   std::vector<nlohmann::ordered_json> patches;
   for (const std::string& patch : reply.patches)
     patches.push_back(nlohmann::ordered_json::parse(patch, nullptr, /*allow_exceptions=*/false));
-  std::optional<configuration::ReadResult> read = configuration::ReadPatched(*message_, patches);
+  std::optional<configuration::ReadResult> read =
+      configuration::ReadPatched(*configuration_message_, patches);
   const bool fits =
       read && read->configuration != nullptr && read->configuration->version == reply.configuration;
   return fits ? std::move(read) : std::nullopt;
 }
 
-bool SystemView::TakeInstances(const WatchReply& reply) {
+bool SystemView::ApplyInstances(const WatchReply& reply) {
   if (reply.whole) {
-    Replace(reply);
+    ReplaceInstances(reply);
     return true;
   }
-  for (const Instance& instance : reply.changed) Merge(instance);
-  for (const auto& [origin, counter] : reply.known) known_[origin] = std::max(known_[origin], counter);
+  for (const Instance& instance : reply.changed) MergeInstance(instance);
+  for (const auto& [origin, counter] : reply.known)
+    version_vector_[origin] = std::max(version_vector_[origin], counter);
   return !reply.changed.empty();
 }
 
-// What another control process had told goes, but that a server leaves: this one may hear of it later.
-void SystemView::Replace(const WatchReply& reply) {
+// Drops what another control process had sent, except that a server is draining or gone: this process may not
+// have learned of that yet.
+void SystemView::ReplaceInstances(const WatchReply& reply) {
   const std::map<std::string, Instance> before = std::exchange(instances_, {});
   for (const Instance& instance : reply.changed) {
     const auto known = before.find(instance.id);
-    const bool leaves = known != before.end() && Leaves(known->second.phase);
-    if (leaves) instances_[instance.id] = known->second;
-    Merge(instance);
+    const bool draining = known != before.end() && Leaves(known->second.phase);
+    if (draining) instances_[instance.id] = known->second;
+    MergeInstance(instance);
   }
-  // Lives of control processes that are over leave nothing behind.
-  known_ = reply.known;
+  // Incarnations of control processes that have ended are forgotten.
+  version_vector_ = reply.known;
 }
 
-void SystemView::Merge(const Instance& instance) {
+void SystemView::MergeInstance(const Instance& instance) {
   const auto it = instances_.find(instance.id);
   if (it == instances_.end()) {
     if (instance.phase != Phase::kDeregistered) instances_[instance.id] = instance;
@@ -101,7 +105,7 @@
 }
 
 DirectoryPtr SystemView::MakeDirectory() const {
-  return std::make_shared<const Directory>(*routing_, instances_, number_, sidecars_);
+  return std::make_shared<const Directory>(*base_directory_, instances_, number_, sidecars_);
 }
 
 }  // namespace violetwing
--- a/src/dataplane/edge_service.cpp
+++ b/src/dataplane/edge_service.cpp
@@ -14,12 +14,12 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-constexpr milliseconds kTick{300};
-// The platform asks every second, and passes no more connections after two misses.
-constexpr milliseconds kUnreadySeen{2600};
-constexpr milliseconds kLastLook{20};
-// What is left of the grace period for the end itself.
-constexpr milliseconds kBeforeKill{400};
+constexpr milliseconds kTickInterval{300};
+// The platform probes readiness every second, and sends no more connections after two failures.
+constexpr milliseconds kUnreadyNoticeDelay{2600};
+constexpr milliseconds kDrainPollInterval{20};
+// Part of the grace period that is left for the exit itself.
+constexpr milliseconds kExitReserve{400};
 
 std::uint64_t Seed() { return (std::uint64_t{std::random_device()()} << 32U) | std::random_device()(); }
 
@@ -43,10 +43,10 @@
                }),
       readiness_(io, [this](const ClientPtr& client,
                             const ClientRequest& request) { OnReadiness(client, request); }),
-      gossip_(io, settings_.node_name, plane_.load_balancer),
+      load_reports_(io, settings_.node_name, plane_.load_balancer),
       link_(io, settings_, [this](DirectoryPtr directory) { OnDirectory(std::move(directory)); }),
-      tick_(io),
-      stop_(io) {
+      tick_timer_(io),
+      stop_timer_(io) {
   plane_.link = &link_;
   plane_.load_balancer.SetLocality(settings_.zone,
                                    [this](const std::string& id) { return plane_.pool.HasIdle(id); });
@@ -60,68 +60,69 @@
       return error;
     }
   }
-  if (const std::error_code error = gossip_.Start(settings_.InternalAddress()))
-    spdlog::warn("no reports of load at {}: {}", settings_.InternalAddress(), error.message());
+  if (const std::error_code error = load_reports_.Start(settings_.InternalAddress()))
+    spdlog::warn("load reports disabled address={} error={}", settings_.InternalAddress(), error.message());
   link_.Start();
   Tick();
-  spdlog::info("sidecar {} takes requests at {}", settings_.node_name, settings_.ingress);
+  spdlog::info("sidecar started node={} ingress={}", settings_.node_name, settings_.ingress);
   return {};
 }
 
 void EdgeService::OnDirectory(DirectoryPtr directory) {
   plane_.directory = std::move(directory);
   ingress_.SetLimits(plane_.directory->limits());
-  gossip_.SetNeighbors(link_.neighbors());
-  const double told_by = static_cast<double>(std::max<std::size_t>(link_.neighbors().size(), 1));
-  plane_.load_balancer.SetSidecarsPerReport(std::max(1.0, (plane_.directory->sidecars() - 1) / told_by));
+  load_reports_.SetNeighbors(link_.neighbors());
+  const double reporting_sidecars = static_cast<double>(std::max<std::size_t>(link_.neighbors().size(), 1));
+  plane_.load_balancer.SetSidecarsPerReport(
+      std::max(1.0, (plane_.directory->sidecars() - 1) / reporting_sidecars));
   const auto waiting = plane_.waiting_for_model;
   for (const auto& request : waiting) request->OnDirectory();
 }
 
-bool EdgeService::Ready() const { return !stopping_ && plane_.directory->HasConfiguration(); }
+bool EdgeService::IsReady() const { return !stopping_ && plane_.directory->HasConfiguration(); }
 
 void EdgeService::OnReadiness(const ClientPtr& client, const ClientRequest& request) const {
   if (request.target != "/api/readyz") return client->Answer(404, "Not Found", {}, "");
-  if (Ready()) return client->Answer(200, "OK", {}, "ready\n");
+  if (IsReady()) return client->Answer(200, "OK", {}, "ready\n");
   client->Answer(503, "Service Unavailable", {}, "not ready\n");
 }
 
 void EdgeService::Tick() {
   plane_.load_balancer.RemoveMissing(*plane_.directory, SteadyMicros());
-  plane_.pool.Keep([this](const std::string& id) {
+  plane_.pool.CloseIdleExcept([this](const std::string& id) {
     const Instance* instance = plane_.directory->Find(id);
     return instance != nullptr && instance->phase != Phase::kDeregistered;
   });
   for (const auto& request : plane_.waiting_for_model) request->ReportDemand();
-  tick_.expires_after(kTick);
-  tick_.async_wait([this](const boost::system::error_code& error) {
+  tick_timer_.expires_after(kTickInterval);
+  tick_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) Tick();
   });
 }
 
 void EdgeService::Stop() {
   if (std::exchange(stopping_, true)) return;
-  spdlog::info("sidecar {} stops", settings_.node_name);
+  spdlog::info("sidecar draining node={}", settings_.node_name);
   ingress_.SetClosing();
-  end_by_ = steady_clock::now() + milliseconds(settings_.grace_ms) - kBeforeKill;
-  stop_.expires_after(std::min(kUnreadySeen, milliseconds(settings_.grace_ms / 2)));
-  stop_.async_wait([this](const boost::system::error_code& error) {
+  stop_deadline_ = steady_clock::now() + milliseconds(settings_.grace_ms) - kExitReserve;
+  stop_timer_.expires_after(std::min(kUnreadyNoticeDelay, milliseconds(settings_.grace_ms / 2)));
+  stop_timer_.async_wait([this](const boost::system::error_code& error) {
     if (error) return;
     ingress_.StopListening();
-    AwaitLast();
+    AwaitDrained();
   });
 }
 
-void EdgeService::AwaitLast() {
-  if (ingress_.busy() == 0 || steady_clock::now() >= end_by_) {
+void EdgeService::AwaitDrained() {
+  if (ingress_.busy() == 0 || steady_clock::now() >= stop_deadline_) {
     link_.Stop();
-    gossip_.Stop();
+    load_reports_.Stop();
     io_.stop();
     return;
   }
-  stop_.expires_after(kLastLook);
-  stop_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) AwaitLast();
+  stop_timer_.expires_after(kDrainPollInterval);
+  stop_timer_.async_wait([this](const boost::system::error_code& error) {
+    if (!error) AwaitDrained();
   });
 }
 
--- a/src/dataplane/edge_service.hpp
+++ b/src/dataplane/edge_service.hpp
@@ -1,4 +1,4 @@
-// A sidecar that takes clients' requests: its listeners, its link to the control plane, and its end.
+// The sidecar: its listeners, its link to the control plane, and its graceful shutdown.
 #ifndef VIOLETWING_DATAPLANE_EDGE_SERVICE_HPP_
 #define VIOLETWING_DATAPLANE_EDGE_SERVICE_HPP_
 
@@ -15,33 +15,37 @@
 
 namespace violetwing {
 
+/// A sidecar. Used on the thread of `io`, which must outlive it.
 class EdgeService {
  public:
+  /// Opens nothing yet.
   EdgeService(boost::asio::io_context& io, NodeSettings settings);
 
+  /// Listens and connects to the control plane. On an error, `problem` says what failed, for the log.
   std::error_code Start(std::string& problem);
+  /// Takes the seeds of new settings; nothing else may change.
   void Reload(const NodeSettings& settings) { link_.Reload(settings); }
-  // Takes readiness away, goes on until the platform has seen that, finishes what is open, and leaves the
-  // loop.
+  /// Graceful shutdown: becomes unready, serves on until the platform has noticed, drains the open requests
+  /// within the grace period, and stops the io_context.
   void Stop();
 
  private:
   void OnDirectory(DirectoryPtr directory);
   void OnReadiness(const ClientPtr& client, const ClientRequest& request) const;
-  bool Ready() const;
+  bool IsReady() const;
   void Tick();
-  void AwaitLast();
+  void AwaitDrained();
 
   boost::asio::io_context& io_;
   const NodeSettings settings_;
   DataPlane plane_;
   Ingress ingress_;
   Ingress readiness_;
-  LoadReportExchange gossip_;
+  LoadReportExchange load_reports_;
   ControlLink link_;
-  boost::asio::steady_timer tick_;
-  boost::asio::steady_timer stop_;
-  std::chrono::steady_clock::time_point end_by_;
+  boost::asio::steady_timer tick_timer_;
+  boost::asio::steady_timer stop_timer_;
+  std::chrono::steady_clock::time_point stop_deadline_;
   bool stopping_ = false;
 };
 
--- a/src/dataplane/http/http_text.hpp
+++ b/src/dataplane/http/http_text.hpp
@@ -1,5 +1,4 @@
-// Heads of HTTP messages as the data plane passes them on: fields in their order, without those that concern
-// one connection only.
+// Header fields of HTTP messages as the data plane forwards them: in their order, without hop-by-hop fields.
 #ifndef VIOLETWING_DATAPLANE_HTTP_HTTP_TEXT_HPP_
 #define VIOLETWING_DATAPLANE_HTTP_HTTP_TEXT_HPP_
 
@@ -11,23 +10,28 @@
 
 namespace violetwing {
 
+/// One header field.
 struct Field {
   std::string name;
   std::string value;
 };
+/// Header fields in the order of the message.
 using FieldList = std::vector<Field>;
 
+/// Compares field names, without regard to case.
 bool SameName(std::string_view a, std::string_view b);
-// Null if there is none.
+/// Value of the first field of that name; null if there is none.
 const std::string* FindField(const FieldList& fields, std::string_view name);
-// The fields of a message that are passed on: not those of the connection, nor those that it names.
+/// The end-to-end fields of a message: without hop-by-hop fields and those named in Connection (RFC 9110,
+/// section 7.6.1), and without Content-Length, which is written anew.
 FieldList EndToEnd(const boost::beast::http::fields& fields);
-// "300" or "0.25" in its units; `otherwise` if it is anything else.
+/// Parses a decimal number, as "300" or "0.25"; `otherwise` if `text` is null or anything else.
 double ParseNumber(const std::string* text, double otherwise);
 
+/// Appends "name: value" and the line end.
 void AppendField(std::string& head, std::string_view name, std::string_view value);
 
-// Names of the fields that the system reads or sets.
+// Names of the header fields that the system reads or sets (the users' PROTOCOL.md).
 namespace field {
 inline constexpr std::string_view kRequestId = "X-Violetwing-Request-Id";
 inline constexpr std::string_view kDeadline = "X-Violetwing-Deadline-Ms";
--- a/src/dataplane/ingress/ingress.cpp
+++ b/src/dataplane/ingress/ingress.cpp
@@ -15,18 +15,18 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-// A body that has not come by then will not.
-constexpr milliseconds kBodyWithin{20'000};
-// A client that takes nothing of its answer for so long is gone.
-constexpr milliseconds kWriteWithin{20'000};
-constexpr milliseconds kAcceptPause{50};
+// For the complete body to arrive.
+constexpr milliseconds kBodyTimeout{20'000};
+// For the client to accept what is written.
+constexpr milliseconds kWriteTimeout{20'000};
+constexpr milliseconds kAcceptRetryDelay{50};
 
 milliseconds ToMilliseconds(double ms) { return milliseconds(static_cast<long>(ms)); }
 
 }  // namespace
 
 ClientConnection::ClientConnection(Ingress& ingress, Tcp::socket socket)
-    : ingress_(ingress), socket_(std::move(socket)), limit_(socket_.get_executor()) {}
+    : ingress_(ingress), socket_(std::move(socket)), timeout_timer_(socket_.get_executor()) {}
 
 void ClientConnection::Start() {
   ErrorCode ignored;
@@ -34,9 +34,9 @@
   AwaitRequest();
 }
 
-void ClientConnection::LimitTime(milliseconds time) {
-  limit_.expires_after(time);
-  limit_.async_wait([self = shared_from_this(), phase = phase_](ErrorCode error) {
+void ClientConnection::ArmTimeout(milliseconds time) {
+  timeout_timer_.expires_after(time);
+  timeout_timer_.async_wait([self = shared_from_this(), phase = phase_](ErrorCode error) {
     if (error || self->closed_ || self->phase_ != phase) return;
     if (phase == Phase::kHead) return self->RejectAndClose(http::error::end_of_stream);
     self->Close();
@@ -47,7 +47,7 @@
   if (closed_) return;
   phase_ = Phase::kIdle;
   if (buffer_.size() > 0) return ReadHead();
-  LimitTime(ToMilliseconds(ingress_.limits_.idle_timeout_ms));
+  ArmTimeout(ToMilliseconds(ingress_.limits_.idle_timeout_ms));
   socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this()](ErrorCode error) {
     if (self->closed_) return;
     if (error) return self->Close();
@@ -58,7 +58,7 @@
 void ClientConnection::ReadHead() {
   phase_ = Phase::kHead;
   ++ingress_.busy_;
-  LimitTime(ToMilliseconds(ingress_.limits_.header_timeout_ms));
+  ArmTimeout(ToMilliseconds(ingress_.limits_.header_timeout_ms));
   parser_ = std::make_unique<Parser>();
   parser_->header_limit(static_cast<std::uint32_t>(ingress_.limits_.max_header_bytes));
   parser_->body_limit(static_cast<std::uint64_t>(ingress_.limits_.max_body_bytes));
@@ -72,9 +72,9 @@
 
 void ClientConnection::ReadBody() {
   phase_ = Phase::kBody;
-  LimitTime(kBodyWithin);
+  ArmTimeout(kBodyTimeout);
   if (beast::iequals(parser_->get()[http::field::expect], "100-continue")) {
-    out_ += "HTTP/1.1 100 Continue\r\n\r\n";
+    pending_output_ += "HTTP/1.1 100 Continue\r\n\r\n";
     Write();
   }
   if (parser_->is_done()) return OnRequest();
@@ -92,7 +92,7 @@
   if (left || broken) return Close();
   phase_ = Phase::kAnswering;
   head_sent_ = finished_ = false;
-  keep_ = false;
+  keep_alive_ = false;
   if (error == http::error::header_limit) return Answer(431, "Request Header Fields Too Large", {}, "");
   if (error == http::error::body_limit) return Answer(413, "Content Too Large", {}, "");
   if (error == http::error::end_of_stream) return Answer(408, "Request Timeout", {}, "");
@@ -100,12 +100,12 @@
 }
 
 void ClientConnection::OnRequest() {
-  limit_.cancel();
+  timeout_timer_.cancel();
   phase_ = Phase::kAnswering;
   head_sent_ = finished_ = chunked_ = false;
   auto& message = parser_->get();
-  keep_ = message.keep_alive();
-  old_client_ = message.version() < 11;
+  keep_alive_ = message.keep_alive();
+  http10_client_ = message.version() < 11;
   ClientRequest request;
   request.method = std::string(message.method_string());
   request.target = std::string(message.target());
@@ -137,33 +137,33 @@
 void ClientConnection::SendHead(int status, const std::string& reason, const FieldList& fields,
                                 std::optional<std::uint64_t> length, bool bodiless) {
   if (closed_ || std::exchange(head_sent_, true)) return;
-  if (ingress_.closing_) keep_ = false;
-  chunked_ = !length && !bodiless && !old_client_;
-  if (!length && !bodiless && old_client_) keep_ = false;
-  out_ += "HTTP/1.1 " + std::to_string(status) + " " + reason + "\r\n";
-  for (const Field& field : fields) AppendField(out_, field.name, field.value);
-  if (length) AppendField(out_, "Content-Length", std::to_string(*length));
-  if (chunked_) AppendField(out_, "Transfer-Encoding", "chunked");
-  if (!keep_) AppendField(out_, "Connection", "close");
-  out_ += "\r\n";
+  if (ingress_.closing_) keep_alive_ = false;
+  chunked_ = !length && !bodiless && !http10_client_;
+  if (!length && !bodiless && http10_client_) keep_alive_ = false;
+  pending_output_ += "HTTP/1.1 " + std::to_string(status) + " " + reason + "\r\n";
+  for (const Field& field : fields) AppendField(pending_output_, field.name, field.value);
+  if (length) AppendField(pending_output_, "Content-Length", std::to_string(*length));
+  if (chunked_) AppendField(pending_output_, "Transfer-Encoding", "chunked");
+  if (!keep_alive_) AppendField(pending_output_, "Connection", "close");
+  pending_output_ += "\r\n";
   Write();
 }
 
-void ClientConnection::SendData(std::string_view piece) {
-  if (closed_ || piece.empty()) return;
+void ClientConnection::SendData(std::string_view data) {
+  if (closed_ || data.empty()) return;
   if (chunked_) {
     char size[24];
-    const int written = std::snprintf(size, sizeof size, "%zx\r\n", piece.size());
-    out_.append(size, static_cast<std::size_t>(written)).append(piece).append("\r\n");
+    const int written = std::snprintf(size, sizeof size, "%zx\r\n", data.size());
+    pending_output_.append(size, static_cast<std::size_t>(written)).append(data).append("\r\n");
   } else {
-    out_.append(piece);
+    pending_output_.append(data);
   }
   Write();
 }
 
 void ClientConnection::Finish() {
   if (closed_ || std::exchange(finished_, true)) return;
-  if (chunked_) out_ += "0\r\n\r\n";
+  if (chunked_) pending_output_ += "0\r\n\r\n";
   on_gone = nullptr;
   on_drained = nullptr;
   Write();
@@ -182,30 +182,30 @@
 }
 
 void ClientConnection::Write() {
-  if (closed_ || !writing_.empty()) return;
-  if (out_.empty()) {
+  if (closed_ || !output_in_flight_.empty()) return;
+  if (pending_output_.empty()) {
     if (!finished_ || phase_ != Phase::kAnswering) return;
-    limit_.cancel();
+    timeout_timer_.cancel();
     // An answer that began before the stop has not told the client that the connection ends: it ends all the
     // same, and a request that comes at this moment is not read.
-    if (!keep_ || ingress_.closing_) return Close();
+    if (!keep_alive_ || ingress_.closing_) return Close();
     --ingress_.busy_;
     phase_ = Phase::kIdle;
     return AwaitRequest();
   }
-  writing_.swap(out_);
-  if (phase_ == Phase::kAnswering) LimitTime(kWriteWithin);
-  asio::async_write(socket_, asio::buffer(writing_),
+  output_in_flight_.swap(pending_output_);
+  if (phase_ == Phase::kAnswering) ArmTimeout(kWriteTimeout);
+  asio::async_write(socket_, asio::buffer(output_in_flight_),
                     [self = shared_from_this()](ErrorCode error, std::size_t) {
                       if (!self->closed_) self->OnWritten(error);
                     });
 }
 
 void ClientConnection::OnWritten(ErrorCode error) {
-  writing_.clear();
+  output_in_flight_.clear();
   if (error) return Close();
-  if (phase_ == Phase::kAnswering) limit_.cancel();
-  if (out_.empty() && !finished_ && on_drained) on_drained();
+  if (phase_ == Phase::kAnswering) timeout_timer_.cancel();
+  if (pending_output_.empty() && !finished_ && on_drained) on_drained();
   Write();
 }
 
@@ -218,7 +218,7 @@
   const auto gone = std::exchange(on_gone, nullptr);
   on_drained = nullptr;
   if (phase_ != Phase::kIdle) --ingress_.busy_;
-  limit_.cancel();
+  timeout_timer_.cancel();
   ErrorCode ignored;
   socket_.shutdown(Tcp::socket::shutdown_send, ignored);
   socket_.close(ignored);
@@ -230,7 +230,7 @@
 // ---- Ingress ----
 
 Ingress::Ingress(asio::io_context& io, Handler handler)
-    : io_(io), handler_(std::move(handler)), acceptor_(io), pause_(io) {}
+    : io_(io), handler_(std::move(handler)), acceptor_(io), accept_retry_timer_(io) {}
 
 std::error_code Ingress::Listen(const std::string& address) {
   const auto endpoint = ParseEndpoint(address);
@@ -248,9 +248,9 @@
 void Ingress::Accept() {
   acceptor_.async_accept([this](boost::system::error_code error, asio::ip::tcp::socket socket) {
     if (error == asio::error::operation_aborted || !acceptor_.is_open()) return;
-    if (error) {  // descriptors are short: later again
-      pause_.expires_after(kAcceptPause);
-      pause_.async_wait([this](boost::system::error_code stopped) {
+    if (error) {  // out of file descriptors: retry later
+      accept_retry_timer_.expires_after(kAcceptRetryDelay);
+      accept_retry_timer_.async_wait([this](boost::system::error_code stopped) {
         if (!stopped) Accept();
       });
       return;
@@ -265,7 +265,7 @@
 void Ingress::StopListening() {
   boost::system::error_code ignored;
   acceptor_.close(ignored);
-  pause_.cancel();
+  accept_retry_timer_.cancel();
   const std::set<ClientPtr> connections = connections_;
   for (const ClientPtr& connection : connections) connection->CloseIfIdle();
 }
--- a/src/dataplane/ingress/ingress.hpp
+++ b/src/dataplane/ingress/ingress.hpp
@@ -1,4 +1,5 @@
-// Connections of clients: requests are read whole, one after the other, and answers written as they come.
+// HTTP/1.1 connections of clients. A request is read completely before it is handled, one after the other on
+// a connection; responses are streamed.
 #ifndef VIOLETWING_DATAPLANE_INGRESS_INGRESS_HPP_
 #define VIOLETWING_DATAPLANE_INGRESS_INGRESS_HPP_
 
@@ -21,44 +22,53 @@
 
 namespace violetwing {
 
+/// A complete request of a client.
 struct ClientRequest {
   std::string method;
   std::string target;
   std::string host;
-  FieldList fields;  // end to end
+  FieldList fields;  ///< end-to-end fields only
   std::string body;
-  bool has_length = false;  // it came with a body, be it empty
+  bool has_length = false;  ///< the client sent a body, possibly empty
   std::chrono::steady_clock::time_point arrived;
 };
 
 class Ingress;
 
+/// Connection of one client. It owns itself until it is closed, and runs on the thread of the Ingress, which
+/// must outlive it.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
   using Tcp = boost::asio::ip::tcp;
 
+  /// An accepted socket.
   ClientConnection(Ingress& ingress, Tcp::socket socket);
+  /// Begins to read requests.
   void Start();
 
-  // The answer to the request at hand: its head, its body in pieces, its end. Without a length the body is
-  // chunked.
+  /// Begins the response to the current request; the second call for a request has no effect. Without a
+  /// `length` the body is chunked, or ends with the connection for HTTP/1.0. `bodiless`: no body follows.
   void SendHead(int status, const std::string& reason, const FieldList& fields,
                 std::optional<std::uint64_t> length, bool bodiless);
-  void SendData(std::string_view piece);
+  /// Sends a part of the body.
+  void SendData(std::string_view data);
+  /// Completes the response.
   void Finish();
-  // A whole short answer of our own.
+  /// Sends a complete response of the sidecar itself.
   void Answer(int status, const std::string& reason, const FieldList& fields, const std::string& body);
-  // Ends the connection so that the answer cannot look complete.
+  /// Closes the connection, so that the response does not look complete.
   void Abort();
-  // Bytes that the client has not taken yet.
-  std::size_t unsent() const { return out_.size() + writing_.size(); }
+  /// Bytes of the response that are not yet written to the socket.
+  std::size_t unsent() const { return pending_output_.size() + output_in_flight_.size(); }
+  /// True once SendHead was called for the current request.
   bool head_sent() const { return head_sent_; }
 
-  std::function<void()> on_gone;     // the client has left before the answer's end
-  std::function<void()> on_drained;  // all bytes so far were taken
+  std::function<void()> on_gone;     ///< the client disconnected before the response was complete
+  std::function<void()> on_drained;  ///< all bytes so far are written to the socket
 
+  /// Closes it if no request is being read or answered.
   void CloseIfIdle();
-  // `on_gone` is called if the answer at hand has not ended.
+  /// Closes it; calls `on_gone` if the response is not complete.
   void Close();
 
  private:
@@ -72,44 +82,48 @@
   void OnRequest();
   void RejectAndClose(ErrorCode error);
   void WatchClient();
-  void LimitTime(std::chrono::milliseconds time);
+  void ArmTimeout(std::chrono::milliseconds time);
   void Write();
   void OnWritten(ErrorCode error);
 
   Ingress& ingress_;
   Tcp::socket socket_;
-  boost::asio::steady_timer limit_;
+  boost::asio::steady_timer timeout_timer_;
   boost::beast::flat_buffer buffer_;
   std::unique_ptr<Parser> parser_;
   Phase phase_ = Phase::kIdle;
-  std::string out_;
-  std::string writing_;
+  std::string pending_output_;
+  std::string output_in_flight_;
   bool head_sent_ = false;
   bool chunked_ = false;
-  bool keep_ = true;
+  bool keep_alive_ = true;
   bool finished_ = false;
   bool closed_ = false;
-  bool old_client_ = false;  // HTTP/1.0: no chunks
+  bool http10_client_ = false;  // HTTP/1.0: no chunks
   std::uint64_t request_number_ = 0;
 };
 
 using ClientPtr = std::shared_ptr<ClientConnection>;
 
-// A listening socket and the connections that came to it.
+/// A listener and the connections that it accepted. Used on the thread of `io`.
 class Ingress {
  public:
+  /// Gets each request, and responds to it through the connection.
   using Handler = std::function<void(const ClientPtr&, ClientRequest)>;
 
+  /// Opens nothing yet.
   Ingress(boost::asio::io_context& io, Handler handler);
+  /// Listens at `address` ("host:port"). Errors: an invalid address, or those of the socket.
   std::error_code Listen(const std::string& address);
-  // Answers tell clients that the connection ends after them.
+  /// From now on responses announce that the connection closes after them.
   void SetClosing() { closing_ = true; }
-  // Takes no more connections and closes the idle ones.
+  /// Accepts no more connections, and closes the idle ones.
   void StopListening();
-  // Closes the others too, whatever is open on them.
+  /// Closes all connections, also with requests in progress.
   void CloseAll();
+  /// Limits for requests that begin from now on.
   void SetLimits(const configuration::Limits& limits) { limits_ = limits; }
-  // Connections on which a request is being read or answered.
+  /// Connections on which a request is being read or answered.
   std::size_t busy() const { return busy_; }
 
  private:
@@ -119,7 +133,7 @@
   boost::asio::io_context& io_;
   const Handler handler_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_;
+  boost::asio::steady_timer accept_retry_timer_;
   configuration::Limits limits_;
   std::set<ClientPtr> connections_;
   std::size_t busy_ = 0;
--- a/src/dataplane/routing/request_router.cpp
+++ b/src/dataplane/routing/request_router.cpp
@@ -34,7 +34,7 @@
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-Rejection RejectionOf(const AnswerHead& head) {
+Rejection RejectionOf(const ResponseHead& head) {
   if (head.status == 421) return Rejection::kWrongServer;
   const bool not_executed = FindField(head.fields, field::kNotExecuted) != nullptr;
   return not_executed && MayMeanNotExecuted(head.status) ? Rejection::kServerBusy : Rejection::kNone;
@@ -134,7 +134,7 @@
     demand.tokens = prefill_equivalent_tokens_;
   }
   demand.waiting = waiting ? 1 : 0;
-  plane_.link->CountDemand(demand, waiting);
+  plane_.link->CountDemand(demand, waiting ? DemandUrgency::kImmediate : DemandUrgency::kDeferred);
 }
 
 // ---- Attempts ----
@@ -197,13 +197,13 @@
   request.text = BuildUpstreamRequest(request_, instance.id, RemainingMs());
   request.head_only = request_.method == "HEAD";
   UpstreamExchange::Events events;
-  events.on_head = [self = shared_from_this()](const AnswerHead& head) { self->OnHead(head); };
+  events.on_head = [self = shared_from_this()](const ResponseHead& head) { self->OnHead(head); };
   events.on_data = [self = shared_from_this()](std::string_view data) { self->OnData(data); };
   events.on_end = [self = shared_from_this()](ExchangeEnd end) { self->OnExchangeEnd(end); };
   attempt_.exchange = plane_.pool.Start(std::move(request), std::move(events));
 }
 
-void RequestRouter::OnHead(const AnswerHead& head) {
+void RequestRouter::OnHead(const ResponseHead& head) {
   const Micros now = SteadyMicros();
   if (const std::string* load = FindField(head.fields, field::kServerLoad))
     plane_.load_balancer.OnLoadReported(attempt_.server, ParseServerLoad(*load), now);
--- a/src/dataplane/routing/request_router.hpp
+++ b/src/dataplane/routing/request_router.hpp
@@ -59,7 +59,7 @@
   void Send(const Instance& instance);
 
   // Events of the attempt in flight.
-  void OnHead(const AnswerHead& head);
+  void OnHead(const ResponseHead& head);
   void OnData(std::string_view data);
   void OnExchangeEnd(ExchangeEnd end);
   void OnComplete();
--- a/src/dataplane/upstream/upstream.hpp
+++ b/src/dataplane/upstream/upstream.hpp
@@ -1,4 +1,4 @@
-// Connections to servers and the exchange of one request and its answer on one of them.
+// HTTP/1.1 connections to servers: a pool of idle ones, and the exchange of one request and its response.
 #ifndef VIOLETWING_DATAPLANE_UPSTREAM_UPSTREAM_HPP_
 #define VIOLETWING_DATAPLANE_UPSTREAM_UPSTREAM_HPP_
 
@@ -21,45 +21,52 @@
 
 namespace violetwing {
 
-// The head of a server's answer.
-struct AnswerHead {
+/// Head of a server's response.
+struct ResponseHead {
   int status = 0;
   std::string reason;
-  FieldList fields;  // end to end
-  std::optional<std::uint64_t> length;
+  FieldList fields;                     ///< end-to-end fields only
+  std::optional<std::uint64_t> length;  ///< Content-Length
   bool chunked = false;
-  bool bodiless = false;  // by its status or the request's method
+  bool bodiless = false;  ///< by its status or the method of the request
 };
 
+/// How an exchange ended.
 enum class ExchangeEnd {
-  kComplete,     // the whole answer has come
-  kUnreachable,  // no connection came up: nothing was sent
-  kReset,        // reset or closed, or what came is no answer to this request
+  kComplete,     ///< the complete response arrived
+  kUnreachable,  ///< no connection was established: nothing was sent
+  kReset,        ///< reset or closed, or no valid response to this request
 };
 
 class UpstreamPool;
 
+/// One request and its response. Made by UpstreamPool::Start; it owns itself until it ends, and runs on the
+/// thread of the pool's io_context.
 class UpstreamExchange : public std::enable_shared_from_this<UpstreamExchange> {
  public:
+  /// The request to send.
   struct Request {
-    std::string instance;  // the id of the server's start
-    std::string address;   // host:port
+    std::string instance;  ///< instance id: idle connections are reused only for the same instance
+    std::string address;   ///< "host:port"
     std::string request_id;
-    std::string text;        // head and body
-    bool head_only = false;  // of method HEAD
+    std::string text;        ///< head and body as they are sent
+    bool head_only = false;  ///< of method HEAD: its response has no body
   };
+  /// Callbacks in the order on_head, on_data (any number), on_end (exactly once, unless cancelled).
   struct Events {
-    std::function<void(const AnswerHead&)> on_head;
-    std::function<void(std::string_view piece)> on_data;
-    std::function<void(ExchangeEnd)> on_end;  // once; nothing after it
+    std::function<void(const ResponseHead&)> on_head;
+    std::function<void(std::string_view data)> on_data;
+    std::function<void(ExchangeEnd)> on_end;
   };
 
-  // Closes the connection; nothing is told from now on.
+  /// Closes the connection; no callback is called any more.
   void Cancel();
-  // Stops reading until Resume: the client takes no more for now.
+  /// Stops reading until Resume (backpressure).
   void Pause() { paused_ = true; }
+  /// Continues after Pause; no effect otherwise.
   void Resume();
-  bool sent() const { return sent_; }  // at least a part of it may have reached the server
+  /// True if part of the request may have reached the server.
+  bool sent() const { return sent_; }
 
  private:
   friend class UpstreamPool;
@@ -81,30 +88,34 @@
   const Request request_;
   Events events_;
   std::shared_ptr<Tcp::socket> socket_;
-  boost::asio::steady_timer connect_limit_;
+  boost::asio::steady_timer connect_timer_;
   boost::beast::flat_buffer buffer_;
   std::unique_ptr<Parser> parser_;
-  std::array<char, 16384> piece_;
-  AnswerHead head_;
+  std::array<char, 16384> chunk_;
+  ResponseHead head_;
   bool sent_ = false;
-  bool written_ = false;
-  bool over_ = false;
+  bool request_written_ = false;
+  bool finished_ = false;
   bool paused_ = false;
   bool reading_ = false;
   bool reused_ = false;
 };
 
-// Idle connections by server, and what makes new ones.
+/// Starts exchanges and keeps idle connections by server. Must outlive its exchanges.
 class UpstreamPool {
  public:
+  /// Everything runs on the thread of `io`.
   explicit UpstreamPool(boost::asio::io_context& io) : io_(io) {}
 
+  /// Starts an exchange on an idle connection, or on a new one. No callback is called before this returns.
   std::shared_ptr<UpstreamExchange> Start(UpstreamExchange::Request request, UpstreamExchange::Events events);
-  // Closes the idle connections of servers of which `alive` is false.
-  void Keep(const std::function<bool(const std::string& instance)>& alive);
+  /// Closes idle connections that have expired, and those to servers for which `is_alive` is false.
+  void CloseIdleExcept(const std::function<bool(const std::string& instance)>& is_alive);
+  /// Closes all idle connections.
   void CloseAll();
-  // Whether an idle connection to the server is kept, as far as is known without a look at it.
+  /// True if there is an idle connection to the server; it may have been closed by its other end.
   bool HasIdle(const std::string& instance) const { return idle_.count(instance) > 0; }
+  /// Where its exchanges run.
   boost::asio::io_context& io() { return io_; }
 
  private:
@@ -115,9 +126,10 @@
     std::chrono::steady_clock::time_point until;
   };
 
-  std::shared_ptr<Tcp::socket> Take(const std::string& instance);
-  void Put(const std::string& instance, std::shared_ptr<Tcp::socket> socket, std::chrono::milliseconds idle);
-  void Watch(const std::string& instance, const std::shared_ptr<Tcp::socket>& socket);
+  std::shared_ptr<Tcp::socket> TakeIdle(const std::string& instance);
+  void PutIdle(const std::string& instance, std::shared_ptr<Tcp::socket> socket,
+               std::chrono::milliseconds idle);
+  void WatchIdle(const std::string& instance, const std::shared_ptr<Tcp::socket>& socket);
 
   boost::asio::io_context& io_;
   std::map<std::string, std::deque<Idle>> idle_;
--- a/tests/dataplane/control_client/control_link_test.cpp
+++ b/tests/dataplane/control_client/control_link_test.cpp
@@ -101,7 +101,7 @@
 
 }  // namespace
 
-TEST_CASE("A link takes what is newer and never goes back to an older configuration") {
+TEST_CASE("A link applies newer configurations and never goes back to an older one") {
   Link link;
   link.Play({Ok(Good(5, Server(Phase::kReady, 1, 1))), Ok(Good(3, Server(Phase::kReady, 2, 2))),
              Ok(Good(5, Server(Phase::kReady, 3, 3))), Ok(Good(8, Server(Phase::kReady, 4, 4)))});
@@ -110,7 +110,7 @@
   CHECK(link.Serves());
 }
 
-TEST_CASE("An answer with a field changed or missing changes nothing that it should not") {
+TEST_CASE("A watch reply with a changed or missing field has no other effects") {
   const wire::PullReply form;
   WatchReply good = Good(9, Server(Phase::kReady, 2, 2));
   good.document = "{";  // so that none of these is a good answer
@@ -132,7 +132,7 @@
   }
 }
 
-TEST_CASE("A patch that names an item by something that is no name is passed over") {
+TEST_CASE("A patch that names an item by an invalid name is ignored") {
   WatchReply odd = Good(6, Server(Phase::kReady, 2, 2));
   odd.document.clear();
   odd.patches = {R"({"version":6,"delete":{"routes":[7]}})"};
@@ -142,14 +142,14 @@
   CHECK(link.went_back() == 0);
 }
 
-TEST_CASE("A server that drains is not taken up again by an answer that knows less") {
+TEST_CASE("A draining server is not made ready again by an older watch reply") {
   Link link;
   link.Play({Ok(Good(5, Server(Phase::kReady, 4, 1))), Ok(Good(5, Server(Phase::kDraining, 3, 2))),
              Ok(Good(5, Server(Phase::kReady, 5, 3)))});
   CHECK_FALSE(link.Serves());
 }
 
-TEST_CASE("A whole list replaces what another control process had told, but not that a server leaves") {
+TEST_CASE("A full list replaces that of another control process, but keeps servers draining") {
   WatchReply whole = Good(5, Server(Phase::kReady, 3, 1));
   whole.source = "another";
   whole.whole = true;
@@ -161,7 +161,7 @@
   CHECK_FALSE(leaving.Serves());
 }
 
-TEST_CASE("An answer that comes twice is taken once") {
+TEST_CASE("A duplicated watch reply is applied once") {
   Link link;
   const std::string answer = Ok(Good(5, Server(Phase::kReady, 1, 1)));
   link.Play({answer, answer, answer});
--- a/tests/dataplane/dataplane_test.cpp
+++ b/tests/dataplane/dataplane_test.cpp
@@ -35,7 +35,7 @@
    "models": [{"name": "m", "weights_mb": 10, "load_time_s": 1.5}, {"name": "slow", "weights_mb": 10, "load_time_s": 1.8}],
    "weights_mb": 100, "loads_per_s": 1}}]})";
 
-const std::string kNotRun = "X-Violetwing-Not-Executed: 1\r\n";
+const std::string kNotExecuted = "X-Violetwing-Not-Executed: 1\r\n";
 const std::string kSigned = "X-Violetwing-Response-Signature: sig\r\nX-Violetwing-Request-Id: r1\r\n";
 
 std::string RequestTo(const std::string& path, const std::string& more = "",
@@ -72,7 +72,7 @@
     io.restart();
     io.poll();  // what the closing has left to do
   }
-  void Know(const std::vector<const ScriptedServer*>& servers) {
+  void SetServers(const std::vector<const ScriptedServer*>& servers) {
     std::map<std::string, Instance> instances;
     for (std::size_t i = 0; i < servers.size(); ++i) {
       Instance instance;
@@ -85,14 +85,14 @@
     plane.directory =
         std::make_shared<const Directory>(configuration::Read(kConfiguration).configuration, instances, 0, 1);
   }
-  // The client's side of a new connection on which `text` was sent.
-  std::shared_ptr<Peer> Ask(const std::string& text) {
+  // The client's side of a new connection on which `text` is sent.
+  std::shared_ptr<Peer> SendRequest(const std::string& text) {
     auto client = Connect(io, endpoint);
     client->Write(text);
     return client;
   }
-  // The directory with a service of models whose one server holds `models`.
-  void KnowModels(const ScriptedServer& server, const std::vector<HeldModel>& models) {
+  // A directory with a backend for models whose one server has loaded `models`.
+  void SetModelServer(const ScriptedServer& server, const std::vector<HeldModel>& models) {
     Instance instance;
     instance.id = "i-0";
     instance.backend = "llm";
@@ -113,28 +113,29 @@
   boost::asio::ip::tcp::endpoint endpoint;
 };
 
-bool Has(const std::shared_ptr<Peer>& peer, const std::string& text) {
+bool Received(const std::shared_ptr<Peer>& peer, const std::string& text) {
   return peer->received.find(text) != std::string::npos;
 }
 
 // Answers each request on each connection with the same text.
-std::function<void(Peer&)> Always(const std::string& answer) {
+std::function<void(Peer&)> AlwaysRespond(const std::string& answer) {
   return [answer](Peer& peer) { peer.Write(answer); };
 }
 
 }  // namespace
 
 TEST_CASE(
-    "A whole answer reaches the client unchanged, and the server is told whom it is and what time is left") {
+    "A complete response is forwarded unchanged, and the server gets its expected instance and the time "
+    "left") {
   Sidecar sidecar;
-  ScriptedServer server(sidecar.io, Always(Reply("200 OK", "bytes", kSigned + "X-Other: kept\r\n")));
-  sidecar.Know({&server});
+  ScriptedServer server(sidecar.io, AlwaysRespond(Reply("200 OK", "bytes", kSigned + "X-Other: kept\r\n")));
+  sidecar.SetServers({&server});
   const auto client =
-      sidecar.Ask(RequestTo("/once/a?b=c", "X-Mine: yes\r\nConnection: x-hop\r\nX-Hop: no\r\n"));
-  REQUIRE(sidecar.Until([&] { return Has(client, "bytes"); }));
-  CHECK(Has(client, "HTTP/1.1 200 OK"));
-  CHECK(Has(client, "X-Violetwing-Response-Signature: sig"));
-  CHECK(Has(client, "X-Other: kept"));
+      sidecar.SendRequest(RequestTo("/once/a?b=c", "X-Mine: yes\r\nConnection: x-hop\r\nX-Hop: no\r\n"));
+  REQUIRE(sidecar.Until([&] { return Received(client, "bytes"); }));
+  CHECK(Received(client, "HTTP/1.1 200 OK"));
+  CHECK(Received(client, "X-Violetwing-Response-Signature: sig"));
+  CHECK(Received(client, "X-Other: kept"));
   const std::string& sent = server.peers[0]->received;
   CHECK(sent.rfind("POST /once/a?b=c HTTP/1.1\r\n", 0) == 0);
   CHECK(sent.find("X-Violetwing-Expected-Instance: i-0") != std::string::npos);
@@ -144,126 +145,127 @@
   CHECK(sent.substr(sent.size() - 5) == "hello");
 }
 
-TEST_CASE("A sidecar without a configuration refuses, one with it says where nothing is") {
+TEST_CASE("Requests are rejected without a configuration, and answered 404 without a route") {
   Sidecar sidecar;
-  const auto early = sidecar.Ask(RequestTo("/once/"));
-  REQUIRE(sidecar.Until([&] { return Has(early, "\r\n\r\n"); }));
-  CHECK(Has(early, "HTTP/1.1 503"));
-  CHECK(Has(early, "Retry-After"));
-  sidecar.Know({});
-  const auto lost = sidecar.Ask(RequestTo("/nowhere/"));
-  REQUIRE(sidecar.Until([&] { return Has(lost, "\r\n\r\n"); }));
-  CHECK(Has(lost, "HTTP/1.1 404"));
+  const auto early = sidecar.SendRequest(RequestTo("/once/"));
+  REQUIRE(sidecar.Until([&] { return Received(early, "\r\n\r\n"); }));
+  CHECK(Received(early, "HTTP/1.1 503"));
+  CHECK(Received(early, "Retry-After"));
+  sidecar.SetServers({});
+  const auto lost = sidecar.SendRequest(RequestTo("/nowhere/"));
+  REQUIRE(sidecar.Until([&] { return Received(lost, "\r\n\r\n"); }));
+  CHECK(Received(lost, "HTTP/1.1 404"));
 }
 
-TEST_CASE("A refused request goes to another server, where the route allows two") {
+TEST_CASE("A rejected request is retried at another server if the route allows two attempts") {
   Sidecar sidecar;
-  ScriptedServer full(sidecar.io, Always(Reply("503 Service Unavailable", "", kNotRun + kSigned)));
-  ScriptedServer free(sidecar.io, Always(Reply("200 OK", "bytes", kSigned)));
-  sidecar.Know({&full, &free});
+  ScriptedServer full(sidecar.io,
+                      AlwaysRespond(Reply("503 Service Unavailable", "", kNotExecuted + kSigned)));
+  ScriptedServer free(sidecar.io, AlwaysRespond(Reply("200 OK", "bytes", kSigned)));
+  sidecar.SetServers({&full, &free});
   for (int i = 0; i < 6; ++i) {
-    const auto client = sidecar.Ask(RequestTo("/once/twice/"));
-    REQUIRE(sidecar.Until([&] { return Has(client, "bytes"); }));
-    CHECK(Has(client, "200 OK"));
+    const auto client = sidecar.SendRequest(RequestTo("/once/twice/"));
+    REQUIRE(sidecar.Until([&] { return Received(client, "bytes"); }));
+    CHECK(Received(client, "200 OK"));
   }
   CHECK(free.requests() == 6);
 }
 
 TEST_CASE(
-    "A request refused by all gets our own refusal at once, with a time and without the server's signature") {
+    "A request rejected by all servers gets the sidecar's own 503 at once, with Retry-After and unsigned") {
   Sidecar sidecar;
-  ScriptedServer full(sidecar.io, Always(Reply("429 Too Many Requests", "x", kNotRun + kSigned)));
-  sidecar.Know({&full});
-  const auto client = sidecar.Ask(RequestTo("/once/"));
-  REQUIRE(sidecar.Until([&] { return Has(client, "\r\n\r\n"); }));
-  CHECK(Has(client, "HTTP/1.1 503"));
-  CHECK(Has(client, "Retry-After: 0."));
-  CHECK_FALSE(Has(client, "Signature"));
+  ScriptedServer full(sidecar.io, AlwaysRespond(Reply("429 Too Many Requests", "x", kNotExecuted + kSigned)));
+  sidecar.SetServers({&full});
+  const auto client = sidecar.SendRequest(RequestTo("/once/"));
+  REQUIRE(sidecar.Until([&] { return Received(client, "\r\n\r\n"); }));
+  CHECK(Received(client, "HTTP/1.1 503"));
+  CHECK(Received(client, "Retry-After: 0."));
+  CHECK_FALSE(Received(client, "Signature"));
   CHECK(full.requests() == 1);
 }
 
-TEST_CASE("A refusal that does not say that nothing was run makes no promise to the client") {
+TEST_CASE("A rejection that does not promise non-execution is not forwarded as such a promise") {
   Sidecar sidecar;
-  ScriptedServer failing(sidecar.io, Always(Reply("503 Service Unavailable", "x", kSigned)));
-  sidecar.Know({&failing});
-  const auto client = sidecar.Ask(RequestTo("/once/"));
-  REQUIRE(sidecar.Until([&] { return Has(client, "\r\n\r\n"); }));
-  CHECK(Has(client, "HTTP/1.1 502"));
-  CHECK_FALSE(Has(client, "Signature"));
+  ScriptedServer failing(sidecar.io, AlwaysRespond(Reply("503 Service Unavailable", "x", kSigned)));
+  sidecar.SetServers({&failing});
+  const auto client = sidecar.SendRequest(RequestTo("/once/"));
+  REQUIRE(sidecar.Until([&] { return Received(client, "\r\n\r\n"); }));
+  CHECK(Received(client, "HTTP/1.1 502"));
+  CHECK_FALSE(Received(client, "Signature"));
 }
 
-TEST_CASE("A server that is another one by now has run nothing, and its 421 is not the client's answer") {
+TEST_CASE("A 421 of a wrong instance means not executed, and is not forwarded to the client") {
   Sidecar sidecar;
-  ScriptedServer other(sidecar.io, Always(Reply("421 Misdirected Request", "", kSigned)));
-  sidecar.Know({&other});
-  const auto alone = sidecar.Ask(RequestTo("/once/"));
-  REQUIRE(sidecar.Until([&] { return Has(alone, "\r\n\r\n"); }));
-  CHECK(Has(alone, "HTTP/1.1 503"));
-  CHECK_FALSE(Has(alone, "Signature"));
-  ScriptedServer right(sidecar.io, Always(Reply("200 OK", "bytes", kSigned)));
-  sidecar.Know({&other, &right});
+  ScriptedServer other(sidecar.io, AlwaysRespond(Reply("421 Misdirected Request", "", kSigned)));
+  sidecar.SetServers({&other});
+  const auto alone = sidecar.SendRequest(RequestTo("/once/"));
+  REQUIRE(sidecar.Until([&] { return Received(alone, "\r\n\r\n"); }));
+  CHECK(Received(alone, "HTTP/1.1 503"));
+  CHECK_FALSE(Received(alone, "Signature"));
+  ScriptedServer right(sidecar.io, AlwaysRespond(Reply("200 OK", "bytes", kSigned)));
+  sidecar.SetServers({&other, &right});
   for (int i = 0; i < 6; ++i) {
-    const auto client = sidecar.Ask(RequestTo("/once/twice/"));
-    REQUIRE(sidecar.Until([&] { return Has(client, "\r\n\r\n"); }));
-    CHECK(Has(client, "200 OK"));
+    const auto client = sidecar.SendRequest(RequestTo("/once/twice/"));
+    REQUIRE(sidecar.Until([&] { return Received(client, "\r\n\r\n"); }));
+    CHECK(Received(client, "200 OK"));
   }
 }
 
-TEST_CASE("After a reset, what may have run is repeated only where the route says that it may be") {
+TEST_CASE("After a reset, a request that may have executed is retried only if it is idempotent") {
   Sidecar sidecar;
   ScriptedServer resets(sidecar.io, [](Peer& peer) { peer.Reset(); });
-  sidecar.Know({&resets});
-  const auto once = sidecar.Ask(RequestTo("/once/twice/"));
-  REQUIRE(sidecar.Until([&] { return Has(once, "\r\n\r\n"); }));
-  CHECK(Has(once, "HTTP/1.1 502"));
+  sidecar.SetServers({&resets});
+  const auto once = sidecar.SendRequest(RequestTo("/once/twice/"));
+  REQUIRE(sidecar.Until([&] { return Received(once, "\r\n\r\n"); }));
+  CHECK(Received(once, "HTTP/1.1 502"));
   CHECK(resets.requests() == 1);
-  ScriptedServer serves(sidecar.io, Always(Reply("200 OK", "bytes", kSigned)));
-  sidecar.Know({&resets, &serves});
+  ScriptedServer serves(sidecar.io, AlwaysRespond(Reply("200 OK", "bytes", kSigned)));
+  sidecar.SetServers({&resets, &serves});
   for (int i = 0; i < 6; ++i) {
-    const auto safe = sidecar.Ask(RequestTo("/safe/"));
-    REQUIRE(sidecar.Until([&] { return Has(safe, "\r\n\r\n"); }));
-    CHECK(Has(safe, "200 OK"));
+    const auto safe = sidecar.SendRequest(RequestTo("/safe/"));
+    REQUIRE(sidecar.Until([&] { return Received(safe, "\r\n\r\n"); }));
+    CHECK(Received(safe, "200 OK"));
   }
 }
 
 TEST_CASE(
-    "A server that cannot be reached has run nothing: another one is taken even where only one attempt is") {
+    "An unreachable server has executed nothing: another one is attempted even if the route allows one") {
   Sidecar sidecar;
   ScriptedServer down(sidecar.io, {}, ScriptedServer::Begin::kDown);
-  ScriptedServer up(sidecar.io, Always(Reply("200 OK", "bytes", kSigned)));
-  sidecar.Know({&down, &up});
+  ScriptedServer up(sidecar.io, AlwaysRespond(Reply("200 OK", "bytes", kSigned)));
+  sidecar.SetServers({&down, &up});
   for (int i = 0; i < 6; ++i) {
-    const auto client = sidecar.Ask(RequestTo("/once/"));
-    REQUIRE(sidecar.Until([&] { return Has(client, "\r\n\r\n"); }));
-    CHECK(Has(client, "200 OK"));
+    const auto client = sidecar.SendRequest(RequestTo("/once/"));
+    REQUIRE(sidecar.Until([&] { return Received(client, "\r\n\r\n"); }));
+    CHECK(Received(client, "200 OK"));
   }
   CHECK(up.requests() == 6);
 }
 
-TEST_CASE("An answer to another request is not taken for this one's") {
+TEST_CASE("A response to another request is not accepted for this one") {
   Sidecar sidecar;
-  ScriptedServer stale(sidecar.io, Always(Reply("200 OK", "old", "X-Violetwing-Request-Id: r0\r\n")));
-  sidecar.Know({&stale});
-  const auto client = sidecar.Ask(RequestTo("/once/"));
-  REQUIRE(sidecar.Until([&] { return Has(client, "\r\n\r\n"); }));
-  CHECK(Has(client, "HTTP/1.1 502"));
-  CHECK_FALSE(Has(client, "old"));
+  ScriptedServer stale(sidecar.io, AlwaysRespond(Reply("200 OK", "old", "X-Violetwing-Request-Id: r0\r\n")));
+  sidecar.SetServers({&stale});
+  const auto client = sidecar.SendRequest(RequestTo("/once/"));
+  REQUIRE(sidecar.Until([&] { return Received(client, "\r\n\r\n"); }));
+  CHECK(Received(client, "HTTP/1.1 502"));
+  CHECK_FALSE(Received(client, "old"));
 }
 
-TEST_CASE("Bytes behind a whole answer are given to nobody") {
+TEST_CASE("Bytes behind a complete response are discarded") {
   Sidecar sidecar;
   ScriptedServer server(sidecar.io,
-                        Always(Reply("200 OK", "bytes", kSigned) + Reply("200 OK", "extra", kSigned)));
-  sidecar.Know({&server});
-  const auto client = sidecar.Ask(RequestTo("/once/"));
-  REQUIRE(sidecar.Until([&] { return Has(client, "bytes"); }));
+                        AlwaysRespond(Reply("200 OK", "bytes", kSigned) + Reply("200 OK", "extra", kSigned)));
+  sidecar.SetServers({&server});
+  const auto client = sidecar.SendRequest(RequestTo("/once/"));
+  REQUIRE(sidecar.Until([&] { return Received(client, "bytes"); }));
   client->Write(RequestTo("/once/"));
   REQUIRE(sidecar.Until([&] { return server.requests() == 2; }));
   CHECK(server.peers.size() == 2);  // the first connection was not used again
-  CHECK_FALSE(Has(client, "extra"));
+  CHECK_FALSE(Received(client, "extra"));
 }
 
-TEST_CASE("An answer that breaks off does not look complete, with a length or in chunks") {
+TEST_CASE("A truncated response does not look complete, with a length or in chunks") {
   for (const std::string& head :
        {std::string("Content-Length: 100\r\n"), std::string("Transfer-Encoding: chunked\r\n")}) {
     Sidecar sidecar;
@@ -272,86 +274,86 @@
                  (head[0] == 'T' ? "5\r\npiece\r\n" : "piece"));
       peer.Close();
     });
-    sidecar.Know({&server});
-    const auto client = sidecar.Ask(RequestTo("/once/"));
+    sidecar.SetServers({&server});
+    const auto client = sidecar.SendRequest(RequestTo("/once/"));
     REQUIRE(sidecar.Until([&] { return client->ended; }));
-    CHECK(Has(client, "piece"));
-    CHECK_FALSE(Has(client, "\r\n0\r\n\r\n"));
+    CHECK(Received(client, "piece"));
+    CHECK_FALSE(Received(client, "\r\n0\r\n\r\n"));
   }
 }
 
-TEST_CASE("An answer without a length cannot be told from a broken one") {
+TEST_CASE("A response without a length counts as reset") {
   Sidecar sidecar;
   ScriptedServer server(sidecar.io, [](Peer& peer) {
     peer.Write("HTTP/1.1 200 OK\r\n" + kSigned + "\r\npiece");
     peer.Close();
   });
-  sidecar.Know({&server});
-  const auto client = sidecar.Ask(RequestTo("/once/"));
-  REQUIRE(sidecar.Until([&] { return Has(client, "\r\n\r\n"); }));
-  CHECK(Has(client, "HTTP/1.1 502"));
+  sidecar.SetServers({&server});
+  const auto client = sidecar.SendRequest(RequestTo("/once/"));
+  REQUIRE(sidecar.Until([&] { return Received(client, "\r\n\r\n"); }));
+  CHECK(Received(client, "HTTP/1.1 502"));
 }
 
-TEST_CASE("Events are passed on as they come") {
+TEST_CASE("Events of a stream are forwarded as they arrive") {
   Sidecar sidecar;
-  ScriptedServer server(sidecar.io, Always("HTTP/1.1 200 OK\r\n" + kSigned +
-                                           "Transfer-Encoding: chunked\r\n\r\n8\r\n"
-                                           "data: 1\n\r\n"));
-  sidecar.Know({&server});
-  const auto client = sidecar.Ask(RequestTo("/stream/"));
-  REQUIRE(sidecar.Until([&] { return Has(client, "data: 1\n"); }));
+  ScriptedServer server(sidecar.io, AlwaysRespond("HTTP/1.1 200 OK\r\n" + kSigned +
+                                                  "Transfer-Encoding: chunked\r\n\r\n8\r\n"
+                                                  "data: 1\n\r\n"));
+  sidecar.SetServers({&server});
+  const auto client = sidecar.SendRequest(RequestTo("/stream/"));
+  REQUIRE(sidecar.Until([&] { return Received(client, "data: 1\n"); }));
   server.peers[0]->Write("8\r\ndata: 2\n\r\n0\r\n\r\n");
-  REQUIRE(sidecar.Until([&] { return Has(client, "data: 2\n\r\n0\r\n\r\n"); }));
+  REQUIRE(sidecar.Until([&] { return Received(client, "data: 2\n\r\n0\r\n\r\n"); }));
 }
 
-TEST_CASE("A client that leaves takes its request with it") {
+TEST_CASE("A client that disconnects cancels its request") {
   Sidecar sidecar;
   ScriptedServer server(sidecar.io);
-  sidecar.Know({&server});
-  const auto client = sidecar.Ask(RequestTo("/once/"));
+  sidecar.SetServers({&server});
+  const auto client = sidecar.SendRequest(RequestTo("/once/"));
   REQUIRE(sidecar.Until([&] { return server.requests() == 1; }));
   client->Close();
   REQUIRE(sidecar.Until([&] { return server.peers[0]->ended; }));
   CHECK(sidecar.plane.load_balancer.InFlight("i-0") == 0);
 }
 
-TEST_CASE("A request whose time is over gets its answer, and its server is let go") {
+TEST_CASE("At its deadline a request is answered, and its upstream exchange is cancelled") {
   Sidecar sidecar;
   ScriptedServer server(sidecar.io);
-  sidecar.Know({&server});
-  const auto client = sidecar.Ask(RequestTo("/short/"));
-  REQUIRE(sidecar.Until([&] { return Has(client, "\r\n\r\n") && server.peers[0]->ended; }));
-  CHECK(Has(client, "HTTP/1.1 504"));
+  sidecar.SetServers({&server});
+  const auto client = sidecar.SendRequest(RequestTo("/short/"));
+  REQUIRE(sidecar.Until([&] { return Received(client, "\r\n\r\n") && server.peers[0]->ended; }));
+  CHECK(Received(client, "HTTP/1.1 504"));
 }
 
-TEST_CASE("An answer that began before the stop ends its connection, and later ones say so") {
+TEST_CASE("A response begun before the shutdown closes its connection, and later ones announce it") {
   Sidecar sidecar;
   ScriptedServer server(sidecar.io);
-  sidecar.Know({&server});
-  const auto before = sidecar.Ask(RequestTo("/stream/"));
+  sidecar.SetServers({&server});
+  const auto before = sidecar.SendRequest(RequestTo("/stream/"));
   REQUIRE(sidecar.Until([&] { return server.requests() == 1; }));
   server.peers[0]->Write("HTTP/1.1 200 OK\r\n" + kSigned +
                          "Transfer-Encoding: chunked\r\n\r\n5\r\npiece\r\n");
-  REQUIRE(sidecar.Until([&] { return Has(before, "piece"); }));
+  REQUIRE(sidecar.Until([&] { return Received(before, "piece"); }));
   sidecar.ingress.SetClosing();
-  const auto after = sidecar.Ask(RequestTo("/stream/"));
+  const auto after = sidecar.SendRequest(RequestTo("/stream/"));
   REQUIRE(sidecar.Until([&] { return server.requests() == 2; }));
   server.peers[1]->Write(Reply("200 OK", "whole", kSigned));
   REQUIRE(sidecar.Until([&] { return after->ended; }));
-  CHECK(Has(after, "Connection: close"));
-  CHECK(Has(after, "whole"));
+  CHECK(Received(after, "Connection: close"));
+  CHECK(Received(after, "whole"));
   server.peers[0]->Write("0\r\n\r\n");
   // At once, and not when an idle connection's time of 15 s is over.
   REQUIRE(RunUntil(
       sidecar.io, [&] { return before->ended; }, 5s));
-  CHECK(Has(before, "\r\n0\r\n\r\n"));
+  CHECK(Received(before, "\r\n0\r\n\r\n"));
   CHECK(sidecar.ingress.busy() == 0);
 }
 
-TEST_CASE("Requests that can be read in two ways, or not at all, are refused and never passed on") {
+TEST_CASE("Ambiguous or malformed requests are rejected and never forwarded") {
   Sidecar sidecar;
-  ScriptedServer server(sidecar.io, Always(Reply("200 OK", "bytes", kSigned)));
-  sidecar.Know({&server});
+  ScriptedServer server(sidecar.io, AlwaysRespond(Reply("200 OK", "bytes", kSigned)));
+  sidecar.SetServers({&server});
   for (const std::string& text :
        {std::string("POST /once/ HTTP/1.1\r\nHost: a.example\r\nContent-Length: 5\r\nTransfer-Encoding: "
                     "chunked\r\n\r\n"
@@ -362,28 +364,28 @@
         std::string("POST  /once/ HTTP/1.1\r\nHost: a.example\r\n\r\n"),
         std::string("POST /once/ HTTP/1.1\r\nHost : a.example\r\n\r\n"),
         std::string("POST /once/ HTTP/1.1\rHost: a.example\r\r\n\r\n")}) {
-    const auto client = sidecar.Ask(text);
+    const auto client = sidecar.SendRequest(text);
     REQUIRE(sidecar.Until([&] { return client->ended; }));
-    CHECK_FALSE(Has(client, "200 OK"));
+    CHECK_FALSE(Received(client, "200 OK"));
   }
   CHECK(server.requests() == 0);
 }
 
-TEST_CASE("A pipelined request is answered after the one before it") {
+TEST_CASE("Pipelined requests are answered in order") {
   Sidecar sidecar;
-  ScriptedServer server(sidecar.io, Always(Reply("200 OK", "bytes", kSigned)));
-  sidecar.Know({&server});
-  const auto client = sidecar.Ask(RequestTo("/once/") + RequestTo("/nowhere/"));
-  REQUIRE(sidecar.Until([&] { return Has(client, "404"); }));
+  ScriptedServer server(sidecar.io, AlwaysRespond(Reply("200 OK", "bytes", kSigned)));
+  sidecar.SetServers({&server});
+  const auto client = sidecar.SendRequest(RequestTo("/once/") + RequestTo("/nowhere/"));
+  REQUIRE(sidecar.Until([&] { return Received(client, "404"); }));
   CHECK(client->received.find("bytes") < client->received.find("404"));
 }
 
-TEST_CASE("A request is held for a model that comes while its client still waits, else refused at once") {
+TEST_CASE("A request waits for a model that can load in time, else it is rejected at once") {
   Sidecar sidecar;
-  ScriptedServer server(sidecar.io, Always(Reply("200 OK", "bytes", kSigned)));
-  sidecar.KnowModels(server, {});
+  ScriptedServer server(sidecar.io, AlwaysRespond(Reply("200 OK", "bytes", kSigned)));
+  sidecar.SetModelServer(server, {});
   const auto ask = [&](const std::string& model) {
-    return sidecar.Ask(
+    return sidecar.SendRequest(
         "POST /stream/a HTTP/1.1\r\nHost: a.example\r\nX-Violetwing-Request-Id: r1\r\n"
         "X-Violetwing-Deadline-Ms: 3000\r\nContent-Length: 0\r\nX-Violetwing-Model: " +
         model + "\r\n\r\n");
@@ -391,11 +393,11 @@
   const auto held = ask("m");
   REQUIRE(sidecar.Until([&] { return !sidecar.plane.waiting_for_model.empty(); }));
   const auto refused = ask("slow");
-  REQUIRE(sidecar.Until([&] { return Has(refused, "503"); }));
-  CHECK(Has(refused, "Retry-After"));
+  REQUIRE(sidecar.Until([&] { return Received(refused, "503"); }));
+  CHECK(Received(refused, "Retry-After"));
   CHECK(held->received.empty());
-  sidecar.KnowModels(server, {{"m", 1, {}}});
-  REQUIRE(sidecar.Until([&] { return Has(held, "bytes"); }));
+  sidecar.SetModelServer(server, {{"m", 1, {}}});
+  REQUIRE(sidecar.Until([&] { return Received(held, "bytes"); }));
 }
 
 }  // namespace violetwing
--- a/tests/dataplane/load_balancing/load_report_test.cpp
+++ b/tests/dataplane/load_balancing/load_report_test.cpp
@@ -1,4 +1,4 @@
-// What sidecars tell each other of their requests at model servers, and what they make of it.
+// Load reports between sidecars: what they say, how they are exchanged, and their effect on server picks.
 #include <catch2/catch.hpp>
 
 #include "common/steady_time.hpp"
@@ -6,7 +6,6 @@
 #include "dataplane/control_client/system_view.hpp"
 #include "dataplane/load_balancing/load_balancer.hpp"
 #include "dataplane/load_balancing/load_report_exchange.hpp"
-#include "dataplane/load_balancing/prefill_queue.hpp"
 #include "sidecar/scripted_peers.hpp"
 #include "testing/model_servers.hpp"
 #include "testing/wire_fields.hpp"
@@ -31,13 +30,13 @@
   return "127.0.0.1:" + std::to_string(free.local_endpoint().port());
 }
 
-// A sidecar's choices, whose reports go to others by the test's hand.
+// A sidecar's choices, whose reports the test delivers to others.
 struct Sidecar {
   explicit Sidecar(std::uint64_t seed) : load_balancer(seed) {
     load_balancer.SetOnReportPending(
         [this](ReportUrgency urgency) { immediate_reports += urgency == ReportUrgency::kImmediate ? 1 : 0; });
   }
-  std::string Choose(const std::vector<PromptPart>& parts) {
+  std::string PickServer(const std::vector<PromptPart>& parts) {
     const RequestAttributes attributes = AttributesOf(parts);
     return load_balancer.PickServer(directory.ServersWithModel("s", "m", ""), directory, attributes, kSecond)
         ->id;
@@ -57,58 +56,22 @@
 
 }  // namespace
 
-TEST_CASE("What a server has to read adds up, and goes down as time passes") {
-  PrefillQueue queue;
-  queue.Enqueue("i-0", 200, kSecond);
-  queue.Enqueue("i-0", 100, kSecond + 50'000);
-  CHECK(queue.RemainingMs("i-0", kSecond + 50'000) == Approx(250));
-  CHECK(queue.RemainingMs("i-0", kSecond + 200'000) == Approx(100));
-  CHECK(queue.RemainingMs("i-0", 2 * kSecond) == 0);
-  CHECK(queue.RemainingMs("i-1", kSecond) == 0);
-  queue.Enqueue("i-0", 100, 3 * kSecond);  // it stood idle meanwhile
-  CHECK(queue.RemainingMs("i-0", 3 * kSecond) == Approx(100));
-}
-
-TEST_CASE("A first byte shows that its prompt and those before it were read, sooner or later than expected") {
-  PrefillQueue queue;
-  queue.Enqueue("i-0", 200, kSecond);
-  queue.Enqueue("i-0", 300, kSecond + 1);
-  queue.Enqueue("i-0", 50, kSecond + 2);
-  queue.OnPrefillDone("i-0", kSecond + 1, kSecond + 100'000);
-  CHECK(queue.RemainingMs("i-0", kSecond + 100'000) == Approx(50));
-  queue.Enqueue("i-0", 100, kSecond + 200'000);
-  queue.OnPrefillDone("i-0", kSecond + 2,
-                      2 * kSecond);  // slower than expected: the last one is yet to be read
-  CHECK(queue.RemainingMs("i-0", 2 * kSecond) == Approx(100));
-  queue.OnPrefillDone("i-1", kSecond, kSecond);
-  CHECK(queue.RemainingMs("i-1", kSecond) == 0);
-}
-
-TEST_CASE("What was sent long ago is forgotten") {
-  PrefillQueue queue;
-  queue.Enqueue("i-0", 200, kSecond);
-  queue.RemoveExpired(20 * kSecond);
-  queue.Enqueue("i-0", 100, 20 * kSecond);
-  queue.OnPrefillDone("i-0", 0, 20 * kSecond);
-  CHECK(queue.RemainingMs("i-0", 20 * kSecond) == Approx(100));
-}
-
-TEST_CASE("Sidecars that hear of each other do not send long prompts to the same idle server") {
+TEST_CASE("Sidecars that exchange load reports do not send long prompts to the same idle server") {
   Sidecar first(1);
   Sidecar second(1);
   const std::string taken = first.Send({{"a", 9000}}, kSecond);
   CHECK(first.immediate_reports == 1);
   // A prompt that the second sidecar, which sees its own requests alone, sends there too.
   std::vector<PromptPart> parts;
-  for (int i = 0; second.Choose(parts) != taken; ++i) {
+  for (int i = 0; second.PickServer(parts) != taken; ++i) {
     REQUIRE(i < 100);
     parts = {{"b" + std::to_string(i), 6000}, {"own", 3000}};
   }
   second.load_balancer.OnPeerReport(first.load_balancer.TakeReport(), kSecond);
-  CHECK(second.Choose(parts) != taken);
+  CHECK(second.PickServer(parts) != taken);
 }
 
-TEST_CASE("What another sidecar's prompt left at a server draws the next one with the same parts there") {
+TEST_CASE("A prefix cached for another sidecar's prompt attracts requests that share it") {
   const std::vector<PromptPart> before{{"shared", 6300}, {"one", 2000}};
   const std::vector<PromptPart> after{{"shared", 6300}, {"two", 2000}};
   for (const char* id : {"i-0", "i-1", "i-2"}) {
@@ -121,7 +84,7 @@
   }
 }
 
-TEST_CASE("A report holds the prompts sent since the last one, and what cannot be so is not believed") {
+TEST_CASE("A report lists the prompts sent since the last one, and implausible ones are ignored") {
   Sidecar sidecar(1);
   const std::vector<PromptPart> parts{{"5c1e07a2", 800}, {"91bd3f06", 410}};
   const std::string taken = sidecar.Send(parts, kSecond);
@@ -143,7 +106,7 @@
   CHECK(attributes.queued_prefill_ms == 0);
 }
 
-TEST_CASE("How fast a model's prompts are read is learnt from those that waited for little else") {
+TEST_CASE("Prefill speed is learned only from requests that waited for little else") {
   Sidecar sidecar(1);
   const std::vector<PromptPart> parts{{"a", 4000}};
   const std::vector<PromptPart> others{{"b", 4000}};
@@ -158,9 +121,9 @@
     sidecar.load_balancer.OnFirstByte("i-0", attributes, kind, kSecond + after_ms * 1000);
   };
   const double unknown = first.uncached_prefill_ms / first.uncached_prompt_tokens;
-  first_byte(second, FirstByteKind::kExecuting, 100);  // it waited for the first one
-  first_byte(first, FirstByteKind::kOther, 40);        // refused
-  first_byte(first, FirstByteKind::kExecuting, 10);    // too fast: it was kept there
+  first_byte(second, FirstByteKind::kExecuting, 100);  // it waited behind the first one
+  first_byte(first, FirstByteKind::kOther, 40);        // rejected
+  first_byte(first, FirstByteKind::kExecuting, 10);    // too fast: the prefix was cached
   sidecar.load_balancer.OnSent("i-1", third = AttributesOf(others), kSecond);
   CHECK(third.uncached_prefill_ms / third.uncached_prompt_tokens == Approx(unknown));
   first_byte(first, FirstByteKind::kExecuting, 40);
@@ -168,7 +131,7 @@
   CHECK(third.uncached_prefill_ms / third.uncached_prompt_tokens == Approx(0.01));
 }
 
-TEST_CASE("Neighbors are the sidecars with the nearest numbers on both sides, the same at every process") {
+TEST_CASE("Neighbors are the sidecars with the nearest numbers on both sides, equal at every process") {
   SidecarRegistry one;
   SidecarRegistry other;
   const auto address = [](int i) { return "10.0.0." + std::to_string(i) + ":7660"; };
@@ -185,7 +148,7 @@
   CHECK(one.NeighborsOf("edge-31", kSecond).hash != neighbors.hash);
 }
 
-TEST_CASE("A sidecar has no neighbor twice, and none where it is alone or its neighbors take no reports") {
+TEST_CASE("Neighbors are distinct, and only sidecars that receive reports") {
   SidecarRegistry sidecars;
   CHECK(sidecars.NeighborsOf("a", kSecond).addresses.empty());
   sidecars.Hear("a", "10.0.0.1:1", kSecond);
@@ -198,7 +161,7 @@
   CHECK(sidecars.NeighborsOf("a", 60 * kSecond).addresses.empty());
 }
 
-TEST_CASE("Where only some sidecars tell of their prompts, each stands for those that do not") {
+TEST_CASE("A report stands for the prompts of the sidecars that do not report here") {
   Sidecar first(1);
   Sidecar second(1);
   const std::vector<PromptPart> parts{{"a", 9000}};
@@ -210,11 +173,11 @@
   CHECK(attributes.queued_prefill_ms == Approx(9000 * 0.034 * 3).margin(3));
 }
 
-TEST_CASE("Reports go over datagrams; what is no report is passed over") {
+TEST_CASE("Load reports are exchanged as datagrams, and malformed ones are ignored") {
   boost::asio::io_context io;
   const std::string address = FreeAddress(io);
-  Sidecar told(1);
-  LoadReportExchange receiver(io, "receiver", told.load_balancer);
+  Sidecar receiving(1);
+  LoadReportExchange receiver(io, "receiver", receiving.load_balancer);
   REQUIRE_FALSE(receiver.Start(address));
 
   boost::asio::ip::udp::socket stranger(io, {boost::asio::ip::make_address("127.0.0.1"), 0});
@@ -224,21 +187,23 @@
                                   std::string(9000, 'x'), std::string()})
     stranger.send_to(boost::asio::buffer(text), to);
 
-  Sidecar telling(1);
-  LoadReportExchange sender(io, "sender", telling.load_balancer);
+  Sidecar sending(1);
+  LoadReportExchange sender(io, "sender", sending.load_balancer);
   REQUIRE_FALSE(sender.Start(FreeAddress(io)));
   sender.SetNeighbors({address, "not an address"});
   const std::vector<PromptPart> parts{{"a", 9000}};
   const std::vector<PromptPart> others{{"b", 9000}};
-  const std::string taken = telling.Send(parts, SteadyMicros());
+  const std::string taken = sending.Send(parts, SteadyMicros());
   const auto avoided = [&] {
     RequestAttributes attributes = AttributesOf(others);
     int to_taken = 0;
     for (int i = 0; i < 30; ++i) {
-      const auto holders = told.directory.ServersWithModel("s", "m", "");
+      const auto holders = receiving.directory.ServersWithModel("s", "m", "");
       to_taken +=
-          told.load_balancer.PickServer(holders, told.directory, attributes, SteadyMicros())->id == taken ? 1
-                                                                                                          : 0;
+          receiving.load_balancer.PickServer(holders, receiving.directory, attributes, SteadyMicros())->id ==
+                  taken
+              ? 1
+              : 0;
     }
     return to_taken == 0;
   };
@@ -247,21 +212,21 @@
   receiver.Stop();
 }
 
-TEST_CASE("An answer of a control process that knows of no neighbors is taken") {
+TEST_CASE("A watch reply without neighbors is accepted") {
   const wire::PullReply form;
   const auto without = [&](const char* field) {
     return testing::Without(form, form.GetDescriptor()->FindFieldByName(field), Encode(WatchReply()));
   };
   SystemView view("edge", "10.0.0.1:1");
   WatchReply reply = Decode<WatchReply>(without("neighbors")).value();
-  CHECK_FALSE(view.Take(reply));
+  CHECK_FALSE(view.Apply(reply));
   CHECK(view.neighbors().empty());
   reply.neighbors = {5, {"10.0.0.2:1"}};
-  CHECK(view.Take(reply));
+  CHECK(view.Apply(reply));
   CHECK(view.neighbors() == std::vector<std::string>{"10.0.0.2:1"});
-  CHECK(view.NextPull(0, {}).neighbors_hash == 5);
+  CHECK(view.NextWatchRequest(0, {}).neighbors_hash == 5);
   reply.neighbors = {5, {}};  // the same still
-  CHECK_FALSE(view.Take(reply));
+  CHECK_FALSE(view.Apply(reply));
   CHECK(view.neighbors().size() == 1);
   CHECK_FALSE(Decode<WatchReply>(without("changed")));
 }
--- a/tests/testing/virtual_system.hpp
+++ b/tests/testing/virtual_system.hpp
@@ -298,7 +298,8 @@
     Sidecar& sidecar = sidecars_[i];
     sidecar.pulling = true;
     const std::string to = sidecar.choice->Current(sidecar.view->controls());
-    CallInternal("edge-" + std::to_string(i), to, kWatchPath, Encode(sidecar.view->NextPull(kPullWaitMs, {})),
+    CallInternal("edge-" + std::to_string(i), to, kWatchPath,
+                 Encode(sidecar.view->NextWatchRequest(kPullWaitMs, {})),
                  [this, i](int status, const std::string& body) { OnWatched(i, status, body); });
   }
 
@@ -306,7 +307,7 @@
     Sidecar& sidecar = sidecars_[i];
     sidecar.pulling = false;
     if (const auto reply = Read<WatchReply>(status, body)) {
-      sidecar.view->Take(*reply);
+      sidecar.view->Apply(*reply);
       sidecar.choice->OnAnswered(sidecar.view->controls(), now_);
       sidecar.pull_at = now_;
     } else {
