--- a/src/control/api/handlers.cpp
+++ b/src/control/api/handlers.cpp
@@ -101,7 +101,7 @@
 }
 
 void HandlePull(ControlCore& core, WatchRequest request, Micros now, const http::Answer& answer) {
-  core.Pull(std::move(request), now, [answer](const std::optional<WatchReply>& reply) {
+  core.Watch(std::move(request), now, [answer](const std::optional<WatchReply>& reply) {
     if (!reply) return answer(Unavailable("this process is out of touch with the others, or stops"));
     answer({200, Encode(*reply), {}, http::BodyType::kBinary});
   });
@@ -126,7 +126,7 @@
   if (request.path == kExchangePath) {
     const auto exchange = Decode<ExchangeRequest>(request.body);
     if (!exchange) return unreadable();
-    return answer({200, Encode(core.Exchange(*exchange, now)), {}, http::BodyType::kBinary});
+    return answer({200, Encode(core.OnExchangeRequest(*exchange, now)), {}, http::BodyType::kBinary});
   }
   if (request.path == kWatchPath) {
     auto pull = Decode<WatchRequest>(request.body);
--- a/src/control/control_core.cpp
+++ b/src/control/control_core.cpp
@@ -22,7 +22,7 @@
 // other a sidecar is sent the last within so long.
 constexpr Micros kDocumentEvery = 250'000;
 // Others are told of what this process has heard within so long.
-constexpr Micros kHeardLately = 600'000;
+constexpr Micros kLastSeenWindow = 600'000;
 // Replicas of a shard that are wanted at least.
 constexpr int kLeastReplicas = 3;
 // Without contact with a quorum for so long, calls that need one are refused at once: an election, which
@@ -62,12 +62,12 @@
 
 Gossip::Outputs ControlCore::PeerOutputs() {
   Gossip::Outputs outputs;
-  outputs.fill = [this](ExchangeRequest& request, const VersionVector* known) {
-    request.source = incarnation_;
+  outputs.fill_request = [this](ExchangeRequest& request, const VersionVector* peer_versions) {
+    request.incarnation = incarnation_;
     request.disk = shards_.disk();
-    request.known = table_.known();
-    request.joins = shards_.Joins(now_);
-    if (known != nullptr) request.changed = table_.ChangedSince(*known);
+    request.version_vector = table_.version_vector();
+    request.shards_to_join = shards_.Joins(now_);
+    if (peer_versions != nullptr) request.changed_instances = table_.ChangedSince(*peer_versions);
   };
   outputs.exchange = outputs_.exchange;
   return outputs;
@@ -76,17 +76,17 @@
 Shards::Outputs ControlCore::ShardOutputs() {
   Shards::Outputs outputs;
   outputs.send = [this](const std::string& address, ShardMessage message) {
-    gossip_.Send(address, std::move(message));
+    gossip_.SendMessage(address, std::move(message));
   };
   outputs.propose = [this](const std::string& address, ShardProposal proposal) {
-    gossip_.Propose(address, std::move(proposal));
+    gossip_.SendProposal(address, std::move(proposal));
   };
   outputs.write = outputs_.write;
   outputs.applied = [this](int shard) {
     pulls_due_ = true;
     if (shard == 0) AnswerWatches(/*at_once=*/true);
   };
-  outputs.left = [this](const std::string& id, Phase phase) { table_.Leave(id, phase, now_); };
+  outputs.left = [this](const std::string& id, Phase phase) { table_.ApplyDeregistration(id, phase, now_); };
   return outputs;
 }
 
@@ -106,7 +106,7 @@
   stopping_ = true;
   for (const PendingWatch& pull : pending_watches_) pull.done(std::nullopt);
   pending_watches_.clear();
-  gossip_.Leave(now_);
+  gossip_.AnnounceShutdown(now_);
 }
 
 void ControlCore::Tick(Micros now) {
@@ -180,39 +180,41 @@
 
 // ---- The other control processes ----
 
-ExchangeReply ControlCore::Exchange(const ExchangeRequest& request, Micros now) {
+ExchangeReply ControlCore::OnExchangeRequest(const ExchangeRequest& request, Micros now) {
   now_ = now;
-  gossip_.Meet(request.from, now);
-  gossip_.Knows(request.from.address, request.source, request.known);
+  gossip_.OnPeerSeen(request.sender, now);
+  gossip_.OnPeerVersions(request.sender.address, request.incarnation, request.version_vector);
   // What an earlier incarnation of this process knew is not known here: its vector would hide the difference
   // for good.
-  if (request.changed_for.empty() || request.changed_for == incarnation_) MergeInstances(request.changed);
-  shards_.Meet(request.disk, request.from.address);
-  shards_.SetLeaving(request.disk, request.from.leaving);
-  for (const int shard : request.joins) shards_.Join(shard, {request.disk, request.from.address}, now);
+  if (request.receiver_incarnation.empty() || request.receiver_incarnation == incarnation_)
+    MergeInstances(request.changed_instances);
+  shards_.Meet(request.disk, request.sender.address);
+  shards_.SetLeaving(request.disk, request.sender.leaving);
+  for (const int shard : request.shards_to_join)
+    shards_.Join(shard, {request.disk, request.sender.address}, now);
   for (const ShardMessage& message : request.messages) shards_.Step(message, now);
   for (const ShardProposal& proposal : request.proposals) shards_.TakeForwarded(proposal);
   CountDemand(request.demand);
   ExchangeReply reply;
-  reply.source = incarnation_;
-  reply.changed = table_.ChangedSince(request.known);
-  reply.known = table_.known();
-  if (request.wants_heard) {
-    reply.heard = table_.HeardSince(now - kHeardLately, now);
-    reply.edges = sidecars_.HeardSince(now - kHeardLately, now);
-    reply.controls = gossip_.Known(now);
+  reply.incarnation = incarnation_;
+  reply.changed_instances = table_.ChangedSince(request.version_vector);
+  reply.version_vector = table_.version_vector();
+  if (request.wants_last_seen) {
+    reply.last_seen_instances = table_.LastSeenSince(now - kLastSeenWindow, now);
+    reply.last_seen_sidecars = sidecars_.LastSeenSince(now - kLastSeenWindow, now);
+    reply.control_nodes = gossip_.LiveNodes(now);
   }
   TellNews();
   Flush();
   return reply;
 }
 
-void ControlCore::Exchanged(const std::string& address, const std::optional<ExchangeReply>& reply,
-                            Micros now) {
+void ControlCore::OnExchangeReply(const std::string& address, const std::optional<ExchangeReply>& reply,
+                                  Micros now) {
   now_ = now;
-  gossip_.OnExchanged(address, reply.has_value(), now);
+  gossip_.OnExchangeEnded(address, reply.has_value(), now);
   if (reply) {
-    gossip_.Knows(address, reply->source, reply->known);
+    gossip_.OnPeerVersions(address, reply->incarnation, reply->version_vector);
     Take(*reply);
     TellNews();
   }
@@ -221,23 +223,24 @@
 
 // Another process may not have applied a departure yet that stands in the log here.
 void ControlCore::MergeInstances(const std::vector<Instance>& changed) {
-  table_.Merge(changed, now_);
+  table_.MergeChanges(changed, now_);
   for (const Instance& instance : changed)
-    if (const auto phase = shards_.Deregistered(instance.id)) table_.Leave(instance.id, *phase, now_);
+    if (const auto phase = shards_.Deregistered(instance.id))
+      table_.ApplyDeregistration(instance.id, *phase, now_);
 }
 
 void ControlCore::Take(const ExchangeReply& reply) {
-  MergeInstances(reply.changed);
-  for (const LastSeen& heard : reply.heard) table_.Hear(heard, now_);
-  for (const SidecarLastSeen& sidecar : reply.edges) sidecars_.HearOf(sidecar, now_);
-  for (const ControlNode& node : reply.controls) gossip_.Meet(node, now_);
+  MergeInstances(reply.changed_instances);
+  for (const LastSeen& seen : reply.last_seen_instances) table_.MergeLastSeen(seen, now_);
+  for (const SidecarLastSeen& sidecar : reply.last_seen_sidecars) sidecars_.MergeLastSeen(sidecar, now_);
+  for (const ControlNode& node : reply.control_nodes) gossip_.OnPeerSeen(node, now_);
 }
 
 // ---- Sidecars ----
 
-void ControlCore::Pull(WatchRequest request, Micros now, const OnWatched& done) {
+void ControlCore::Watch(WatchRequest request, Micros now, const OnWatched& done) {
   now_ = now;
-  sidecars_.Hear(request.node, request.address, now);
+  sidecars_.OnWatch(request.node, request.load_report_address, now);
   CountDemand(request.demand);
   const bool hold = wake_every_ >= kHoldFrom && now - woken_at_ < wake_every_;
   if (!AnswerWatch(request, done, hold ? WatchAnswer::kUnlessServersAlone : WatchAnswer::kWithNews)) {
@@ -255,29 +258,29 @@
   // A list is whole once every server that lives has had the time to say so.
   const bool settled =
       quorum_contact_since_ > 0 && now_ - quorum_contact_since_ > 2 * settings_.heartbeat_ms * 1000;
-  const bool whole = settled && request.source != incarnation_;
-  const bool behind = configuration().version() > request.configuration;
+  const bool whole = settled && request.incarnation != incarnation_;
+  const bool behind = configuration().version() > request.configuration_version;
   const bool newer = behind && DocumentDue(request.node, when == WatchAnswer::kAlways);
   document_held_ = document_held_ || (behind && !newer);
   if (when != WatchAnswer::kAlways && !whole && !newer) {
-    const bool missing = table_.Misses(request.known);
+    const bool missing = table_.HasUpdatesFor(request.version_vector);
     const bool held = missing && when == WatchAnswer::kUnlessServersAlone;
     pulls_due_ = pulls_due_ || held;
     if (!missing || held) return false;
   }
   WatchReply reply;
-  reply.source = whole || request.source == incarnation_ ? incarnation_ : std::string();
-  reply.whole = whole;
-  reply.configuration = configuration().version();
+  reply.incarnation = whole || request.incarnation == incarnation_ ? incarnation_ : std::string();
+  reply.complete = whole;
+  reply.configuration_version = configuration().version();
   if (newer) FillConfiguration(request, reply);
   // Another process's list is in the caller's hands until then: what it has heard says nothing of what it
   // holds.
-  reply.changed = table_.ChangedSince(whole ? VersionVector() : request.known);
-  reply.known = table_.known();
-  reply.controls = gossip_.Known(now_);
-  const SidecarRegistry::Place place = sidecars_.PlaceOf(request.node, now_);
-  reply.number = place.number;
-  reply.sidecars = place.count;
+  reply.changed_instances = table_.ChangedSince(whole ? VersionVector() : request.version_vector);
+  reply.version_vector = table_.version_vector();
+  reply.control_nodes = gossip_.LiveNodes(now_);
+  const SidecarRegistry::WindowPosition position = sidecars_.WindowPositionOf(request.node, now_);
+  reply.window_position = position.index;
+  reply.sidecar_count = position.count;
   reply.neighbors = sidecars_.NeighborsOf(request.node, now_);
   if (reply.neighbors.hash == request.neighbors_hash) reply.neighbors.addresses.clear();
   done(reply);
@@ -287,11 +290,11 @@
 void ControlCore::FillConfiguration(const WatchRequest& request, WatchReply& reply) {
   document_sent_at_[request.node] = now_;
   std::optional<std::vector<std::string>> patches;
-  if (request.takes_patches) patches = configuration().PatchesSince(request.configuration);
+  if (request.accepts_patches) patches = configuration().PatchesSince(request.configuration_version);
   if (patches)
-    reply.patches = std::move(*patches);
+    reply.configuration_patches = std::move(*patches);
   else
-    reply.document = configuration().document();
+    reply.configuration_document = configuration().document();
 }
 
 bool ControlCore::DocumentDue(const std::string& sidecar, bool at_once) const {
@@ -333,7 +336,7 @@
     return;
   }
   const std::string leader = shards_.ConfigurationLeader();
-  if (!leader.empty()) gossip_.Tell(leader, demand);
+  if (!leader.empty()) gossip_.SendDemand(leader, demand);
 }
 
 void ControlCore::TickPlacer() {
@@ -345,13 +348,13 @@
 // What has changed in the table goes to the sidecars that wait here, and what was changed here to the other
 // control processes as well: they tell it to theirs.
 void ControlCore::TellNews() {
-  if (!table_.Misses(told_)) return;
-  told_ = table_.known();
+  if (!table_.HasUpdatesFor(told_)) return;
+  told_ = table_.version_vector();
   pulls_due_ = true;
   AnswerWatches(/*at_once=*/false);
   if (told_[incarnation_] <= spread_) return;
   spread_ = told_[incarnation_];
-  gossip_.SpreadNews(now_);
+  gossip_.ScheduleBroadcast(now_);
 }
 
 void ControlCore::OrdersDue(Micros now) {
--- a/src/control/control_core.hpp
+++ b/src/control/control_core.hpp
@@ -21,7 +21,7 @@
 #include "control/instances/instance_table.hpp"
 #include "control/placement/placer_role.hpp"
 #include "control/replication/shards.hpp"
-#include "messages/peer.hpp"
+#include "messages/watch.hpp"
 
 namespace violetwing {
 
@@ -64,13 +64,13 @@
 
   // Calls of sidecars. A pull waits for news, as long as it says; it is answered with nothing if this process
   // is out of touch with the others.
-  void Pull(WatchRequest request, Micros now, const OnWatched& done);
+  void Watch(WatchRequest request, Micros now, const OnWatched& done);
   void Demand(const std::vector<ModelDemand>& demand, Micros now);
 
   // Calls of the other control processes, and the ends of those to them: without an answer that could be
   // read, empty.
-  ExchangeReply Exchange(const ExchangeRequest& request, Micros now);
-  void Exchanged(const std::string& address, const std::optional<ExchangeReply>& reply, Micros now);
+  ExchangeReply OnExchangeRequest(const ExchangeRequest& request, Micros now);
+  void OnExchangeReply(const std::string& address, const std::optional<ExchangeReply>& reply, Micros now);
 
   // When the next order is due, for a call of OrdersDue then; empty if none is.
   std::optional<Micros> NextOrderAt() const { return placer_.NextDueAt(); }
--- a/src/control/control_service.cpp
+++ b/src/control/control_service.cpp
@@ -184,7 +184,7 @@
 
 void ControlService::Exchange(const std::string& address, const ExchangeRequest& request) {
   const auto done = [this, address](int status, const std::string& body) {
-    core_->Exchanged(address, ReadReply(status, body), SteadyMicros());
+    core_->OnExchangeReply(address, ReadReply(status, body), SteadyMicros());
   };
   client_.Call(address, "POST", kExchangePath, Encode(request), kExchangeSilence, done, {},
                http::BodyType::kBinary);
--- a/src/control/gossip/gossip.cpp
+++ b/src/control/gossip/gossip.cpp
@@ -5,135 +5,153 @@
 namespace violetwing {
 namespace {
 
-// Also how old may be what an exchange has told of whom another process has heard.
-constexpr Micros kExchangeEvery = 150'000;
-// News is told at once, but not more often than this to each.
-constexpr Micros kNewsEvery = 20'000;
-// An address that did not answer the last time.
-constexpr Micros kRetryEvery = 400'000;
-// One that was neither seed nor member and was not heard for so long is forgotten.
+// Also the interval at which last-seen lists are asked for.
+constexpr Micros kExchangeInterval = 150'000;
+// Changes are broadcast at once, but to each peer not more often than this.
+constexpr Micros kBroadcastInterval = 20'000;
+// After a failed exchange.
+constexpr Micros kRetryInterval = 400'000;
+// A peer that is neither seed nor member is forgotten when it has not been seen for so long.
 constexpr Micros kForgetAfter = 20'000'000;
-constexpr Micros kKnownFor = 10'000'000;
-// Messages that wait for one process at most; replicas repeat what is dropped.
-constexpr std::size_t kMostMessages = 256;
+// A peer counts as live for so long after it was seen.
+constexpr Micros kLiveFor = 10'000'000;
+// Messages, proposals or items of demand queued for one peer. Replicas repeat what is dropped.
+constexpr std::size_t kMaxQueued = 256;
 
 }  // namespace
 
-Gossip::Peer& Gossip::Get(const std::string& address) {
+Gossip::Peer& Gossip::FindOrAdd(const std::string& address) {
   Peer& peer = peers_[address];
   peer.node.address = address;
   return peer;
 }
 
 void Gossip::SetSeeds(const std::vector<ControlNode>& seeds) {
-  for (auto& [address, peer] : peers_) peer.seed = false;
+  for (auto& [address, peer] : peers_) peer.is_seed = false;
   for (const ControlNode& seed : seeds) {
     if (seed.address == self_.address) continue;
-    Peer& peer = Get(seed.address);
-    peer.seed = true;
+    Peer& peer = FindOrAdd(seed.address);
+    peer.is_seed = true;
     if (peer.node.api_address.empty()) peer.node.api_address = seed.api_address;
   }
 }
 
 void Gossip::SetMembers(const std::vector<std::string>& addresses) {
-  for (auto& [address, peer] : peers_) peer.member = false;
+  for (auto& [address, peer] : peers_) peer.is_member = false;
   for (const std::string& address : addresses)
-    if (address != self_.address && !address.empty()) Get(address).member = true;
+    if (address != self_.address && !address.empty()) FindOrAdd(address).is_member = true;
 }
 
-void Gossip::Meet(const ControlNode& node, Micros now) {
+void Gossip::OnPeerSeen(const ControlNode& node, Micros now) {
   if (node.address.empty() || node.address == self_.address) return;
-  Peer& peer = Get(node.address);
+  Peer& peer = FindOrAdd(node.address);
   peer.node = node;
-  peer.node.leaving = false;  // that is for others to hear from it alone
-  if (peer.heard_at == 0) peer.heard_at = now;
+  peer.node.leaving = false;  // must not be passed on: each process announces its own shutdown
+  if (peer.last_seen_at == 0) peer.last_seen_at = now;
 }
 
-void Gossip::Send(const std::string& address, ShardMessage message) {
-  Peer& peer = Get(address);
-  if (peer.next.messages.size() >= kMostMessages) peer.next.messages.clear();
-  peer.next.messages.push_back(std::move(message));
-  peer.urgent = true;
+void Gossip::OnPeerVersions(const std::string& address, const std::string& incarnation,
+                            const VersionVector& version_vector) {
+  const auto it = peers_.find(address);
+  if (it == peers_.end()) return;
+  it->second.incarnation = incarnation;
+  it->second.version_vector = version_vector;
 }
 
-void Gossip::Propose(const std::string& address, ShardProposal proposal) {
-  Peer& peer = Get(address);
-  if (peer.next.proposals.size() >= kMostMessages) return;
-  peer.next.proposals.push_back(std::move(proposal));
-  peer.urgent = true;
+void Gossip::SendMessage(const std::string& address, ShardMessage message) {
+  Peer& peer = FindOrAdd(address);
+  if (peer.next_request.messages.size() >= kMaxQueued) peer.next_request.messages.clear();
+  peer.next_request.messages.push_back(std::move(message));
+  peer.has_queued_payload = true;
 }
 
-void Gossip::Tell(const std::string& address, std::vector<ModelDemand> demand) {
-  Peer& peer = Get(address);
-  if (peer.next.demand.size() >= kMostMessages) return;
-  for (ModelDemand& one : demand) peer.next.demand.push_back(std::move(one));
-  peer.urgent = true;
+void Gossip::SendProposal(const std::string& address, ShardProposal proposal) {
+  Peer& peer = FindOrAdd(address);
+  if (peer.next_request.proposals.size() >= kMaxQueued) return;
+  peer.next_request.proposals.push_back(std::move(proposal));
+  peer.has_queued_payload = true;
 }
 
-void Gossip::Knows(const std::string& address, const std::string& incarnation, const VersionVector& known) {
-  const auto it = peers_.find(address);
-  if (it == peers_.end()) return;
-  it->second.incarnation = incarnation;
-  it->second.known = known;
+void Gossip::SendDemand(const std::string& address, std::vector<ModelDemand> demand) {
+  Peer& peer = FindOrAdd(address);
+  if (peer.next_request.demand.size() >= kMaxQueued) return;
+  for (ModelDemand& model : demand) peer.next_request.demand.push_back(std::move(model));
+  peer.has_queued_payload = true;
 }
 
-void Gossip::Leave(Micros now) {
+void Gossip::AnnounceShutdown(Micros now) {
   self_.leaving = true;
-  for (auto& [address, peer] : peers_) peer.urgent = true;
+  for (auto& [address, peer] : peers_) peer.has_queued_payload = true;
   Flush(now);
 }
 
-void Gossip::SpreadNews(Micros now) {
-  for (auto& [address, peer] : peers_) peer.news = true;
+void Gossip::ScheduleBroadcast(Micros now) {
+  for (auto& [address, peer] : peers_) peer.broadcast_pending = true;
   Flush(now);
 }
 
 void Gossip::Flush(Micros now) {
   for (auto& [address, peer] : peers_) {
-    if (peer.busy || (peer.failed && now - peer.tried_at < kRetryEvery)) continue;
-    if (peer.urgent || (peer.news && now - peer.tried_at >= kNewsEvery)) Exchange(address, peer, now);
+    const Micros since_last = now - peer.last_exchange_at;
+    const bool backing_off = peer.last_exchange_failed && since_last < kRetryInterval;
+    if (peer.exchange_in_flight || backing_off) continue;
+    const bool broadcast_due = peer.broadcast_pending && since_last >= kBroadcastInterval;
+    if (peer.has_queued_payload || broadcast_due) BeginExchange(address, peer, now);
   }
 }
 
+bool Gossip::IsForgettable(const Peer& peer, Micros now) {
+  const bool needed = peer.is_seed || peer.is_member || peer.exchange_in_flight;
+  return !needed && now - peer.last_seen_at > kForgetAfter;
+}
+
 void Gossip::Tick(Micros now) {
   for (auto it = peers_.begin(); it != peers_.end();) {
-    Peer& peer = it->second;
-    if (!peer.seed && !peer.member && !peer.busy && now - peer.heard_at > kForgetAfter) {
+    auto& [address, peer] = *it;
+    if (IsForgettable(peer, now)) {
       it = peers_.erase(it);
       continue;
     }
-    if (!peer.busy && now - peer.tried_at >= (peer.failed ? kRetryEvery : kExchangeEvery))
-      Exchange(it->first, peer, now);
+    const Micros interval = peer.last_exchange_failed ? kRetryInterval : kExchangeInterval;
+    if (!peer.exchange_in_flight && now - peer.last_exchange_at >= interval)
+      BeginExchange(address, peer, now);
     ++it;
   }
 }
 
-void Gossip::Exchange(const std::string& address, Peer& peer, Micros now) {
-  ExchangeRequest request = std::exchange(peer.next, {});
-  request.from = self_;
-  request.changed_for = peer.incarnation;
-  request.wants_heard = peer.asked_heard = peer.told_at == 0 || now - peer.told_at >= kExchangeEvery;
-  outputs_.fill(request, peer.known ? &*peer.known : nullptr);
-  peer.busy = true;
-  peer.urgent = peer.news = false;
-  peer.tried_at = now;
+void Gossip::BeginExchange(const std::string& address, Peer& peer, Micros now) {
+  const bool never_synced = peer.last_seen_sync_at == 0;
+  peer.requested_last_seen = never_synced || now - peer.last_seen_sync_at >= kExchangeInterval;
+  ExchangeRequest request = std::exchange(peer.next_request, {});
+  request.sender = self_;
+  request.receiver_incarnation = peer.incarnation;
+  request.wants_last_seen = peer.requested_last_seen;
+  outputs_.fill_request(request, peer.version_vector ? &*peer.version_vector : nullptr);
+  peer.exchange_in_flight = true;
+  peer.has_queued_payload = false;
+  peer.broadcast_pending = false;
+  peer.last_exchange_at = now;
   outputs_.exchange(address, std::move(request));
 }
 
-void Gossip::OnExchanged(const std::string& address, bool answered, Micros now) {
-  Peer& peer = Get(address);
-  peer.busy = false;
-  peer.failed = !answered;
-  if (!answered) return peer.next.messages.clear();  // repeated by the replicas, with later knowledge
-  peer.heard_at = now;
-  if (peer.asked_heard) peer.told_at = peer.tried_at;
+void Gossip::OnExchangeEnded(const std::string& address, bool succeeded, Micros now) {
+  Peer& peer = FindOrAdd(address);
+  peer.exchange_in_flight = false;
+  peer.last_exchange_failed = !succeeded;
+  if (!succeeded) {
+    // The replicas repeat these messages, in a later state.
+    peer.next_request.messages.clear();
+    return;
+  }
+  peer.last_seen_at = now;
+  if (peer.requested_last_seen) peer.last_seen_sync_at = peer.last_exchange_at;
 }
 
-std::vector<ControlNode> Gossip::Known(Micros now) const {
-  std::vector<ControlNode> out{self_};
+std::vector<ControlNode> Gossip::LiveNodes(Micros now) const {
+  std::vector<ControlNode> nodes{self_};
   for (const auto& [address, peer] : peers_)
-    if (!peer.node.node.empty() && now - peer.heard_at < kKnownFor) out.push_back(peer.node);
-  return out;
+    if (!peer.node.node.empty() && now - peer.last_seen_at < kLiveFor) nodes.push_back(peer.node);
+  return nodes;
 }
 
 }  // namespace violetwing
--- a/src/control/gossip/gossip.hpp
+++ b/src/control/gossip/gossip.hpp
@@ -1,6 +1,6 @@
-// The other control processes: who they are, and the exchange with each, one call at a time. What is to be
-// said to one waits until its last call has ended; what a call did not bring over is lost, and those who sent
-// it repeat it. A core: it holds no clock, socket, file or thread.
+// Exchanges with the other control processes: which peers there are, and at most one call in flight to each.
+// What is to be sent to a peer is queued until its call has ended. The payload of a failed call is lost;
+// senders repeat it. A core: it holds no clock, socket, file or thread.
 #ifndef VIOLETWING_CONTROL_GOSSIP_GOSSIP_HPP_
 #define VIOLETWING_CONTROL_GOSSIP_GOSSIP_HPP_
 
@@ -8,68 +8,83 @@
 #include <map>
 #include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "common/time.hpp"
-#include "messages/peer.hpp"
+#include "control/gossip/exchange_message.hpp"
 
 namespace violetwing {
 
+/// The peers of one control process and the schedule of the exchanges with them. Peers are named by their
+/// internal address. All times are in microseconds of one steady clock.
 class Gossip {
  public:
+  /// Calls to the owner, made from within the calls below.
   struct Outputs {
-    // Adds what every exchange carries; `known` is what the other one last said that it knows, null if it has
-    // said nothing yet.
-    std::function<void(ExchangeRequest&, const VersionVector* known)> fill;
+    /// Adds to a request what every exchange carries. `peer_versions` is what the peer sent last of its
+    /// version vector, null if it has sent none yet.
+    std::function<void(ExchangeRequest&, const VersionVector* peer_versions)> fill_request;
+    /// Begins an exchange. `OnExchangeEnded` has to follow.
     std::function<void(const std::string& address, ExchangeRequest)> exchange;
   };
 
   Gossip(ControlNode self, Outputs outputs) : self_(std::move(self)), outputs_(std::move(outputs)) {}
 
+  /// Replaces the peers of the settings, which are never forgotten.
   void SetSeeds(const std::vector<ControlNode>& seeds);
-  // Replicas of the shards' groups: always talked to.
+  /// Replaces the peers that hold replicas of the shards, which are never forgotten.
   void SetMembers(const std::vector<std::string>& addresses);
-  void Meet(const ControlNode& node, Micros now);
-
-  void Send(const std::string& address, ShardMessage message);
-  void Propose(const std::string& address, ShardProposal proposal);
-  void Tell(const std::string& address, std::vector<ModelDemand> demand);
-  // What the process at this address knows, by its own word.
-  void Knows(const std::string& address, const std::string& incarnation, const VersionVector& known);
-  // This process is about to end: all are told at once.
-  void Leave(Micros now);
-  // There is news of this process that all others should have soon.
-  void SpreadNews(Micros now);
-  // Begins the exchanges that are due by the clock.
+  /// A control process was seen, here or by another one.
+  void OnPeerSeen(const ControlNode& node, Micros now);
+  /// A peer has sent the version vector of its instance table.
+  void OnPeerVersions(const std::string& address, const std::string& incarnation,
+                      const VersionVector& version_vector);
+
+  /// Each queues something for a peer until the next `Flush`. A full queue drops: all earlier messages, or
+  /// the new proposal or demand.
+  void SendMessage(const std::string& address, ShardMessage message);
+  void SendProposal(const std::string& address, ShardProposal proposal);
+  void SendDemand(const std::string& address, std::vector<ModelDemand> demand);
+
+  /// This process is about to end: begins an exchange with all peers that are free.
+  void AnnounceShutdown(Micros now);
+  /// All peers should soon have the changes of this process's instance table.
+  void ScheduleBroadcast(Micros now);
+  /// Begins the exchanges that are due by time, and forgets peers that have been silent for long.
   void Tick(Micros now);
-  // Begins the exchanges for which something was said since.
+  /// Begins the exchanges for which something is queued.
   void Flush(Micros now);
-  // An exchange with this address has ended, with an answer that could be read or without.
-  void OnExchanged(const std::string& address, bool answered, Micros now);
+  /// An exchange has ended. `succeeded`: with a reply that could be decoded.
+  void OnExchangeEnded(const std::string& address, bool succeeded, Micros now);
 
-  // Those heard of lately, this process included.
-  std::vector<ControlNode> Known(Micros now) const;
+  /// The control processes that were seen lately, this one included.
+  std::vector<ControlNode> LiveNodes(Micros now) const;
 
  private:
   struct Peer {
-    ControlNode node;  // its names are empty until it was heard
-    Micros heard_at = 0;
-    Micros tried_at = 0;
-    Micros told_at = 0;  // when an exchange began whose answer told whom the process there has heard
-    bool busy = false;
-    bool asked_heard = false;  // by the exchange under way
-    bool failed = false;
-    bool seed = false;
-    bool member = false;
-    ExchangeRequest next;
-    bool urgent = false;  // `next` holds something that was said
-    bool news = false;    // it should hear what has changed here
-    std::optional<VersionVector> known;
-    std::string incarnation;  // of the process there that said so
+    ControlNode node;  // its names are empty until the peer was seen
+    bool is_seed = false;
+    bool is_member = false;
+    Micros last_seen_at = 0;  // 0: never
+
+    bool exchange_in_flight = false;
+    bool requested_last_seen = false;  // by the exchange in flight, or the last one
+    bool last_exchange_failed = false;
+    Micros last_exchange_at = 0;   // its begin
+    Micros last_seen_sync_at = 0;  // begin of the last exchange that brought last-seen lists; 0: none
+
+    ExchangeRequest next_request;  // what is queued
+    bool has_queued_payload = false;
+    bool broadcast_pending = false;
+
+    std::string incarnation;  // of the process that sent `version_vector`
+    std::optional<VersionVector> version_vector;
   };
 
-  Peer& Get(const std::string& address);
-  void Exchange(const std::string& address, Peer& peer, Micros now);
+  static bool IsForgettable(const Peer& peer, Micros now);
+  Peer& FindOrAdd(const std::string& address);
+  void BeginExchange(const std::string& address, Peer& peer, Micros now);
 
   ControlNode self_;
   const Outputs outputs_;
--- a/src/control/gossip/sidecar_registry.cpp
+++ b/src/control/gossip/sidecar_registry.cpp
@@ -7,66 +7,74 @@
 namespace violetwing {
 namespace {
 
-// Without a word of a sidecar for so long, the others share its part of what all may spend.
-constexpr Micros kLostAfter = 5'000'000;
-// Neighbors of a sidecar, on both sides together: what each report of load costs in datagrams.
-constexpr std::size_t kMostNeighbors = 24;
+// A sidecar that has not been seen for longer counts no more: the others divide its share among them.
+constexpr Micros kLiveFor = 5'000'000;
+// On both sides together. Each load report costs one datagram per neighbor.
+constexpr std::size_t kMaxNeighbors = 24;
+
+constexpr Micros kMicrosPerMs = 1000;
 
 }  // namespace
 
-void SidecarRegistry::Hear(const std::string& name, const std::string& address, Micros now) {
+bool SidecarRegistry::IsLive(const Sidecar& sidecar, Micros now) {
+  return now - sidecar.last_seen_at <= kLiveFor;
+}
+
+void SidecarRegistry::OnWatch(const std::string& name, const std::string& address, Micros now) {
   Sidecar& sidecar = sidecars_[name];
   sidecar.address = address;
-  sidecar.heard_at = sidecar.heard_directly_at = now;
+  sidecar.last_seen_at = now;
+  sidecar.last_watch_at = now;
 }
 
-void SidecarRegistry::HearOf(const SidecarLastSeen& heard, Micros now) {
-  Sidecar& sidecar = sidecars_[heard.id];
-  if (!heard.address.empty()) sidecar.address = heard.address;
-  sidecar.heard_at = std::max(sidecar.heard_at, now - heard.age_ms * 1000);
+void SidecarRegistry::MergeLastSeen(const SidecarLastSeen& seen, Micros now) {
+  Sidecar& sidecar = sidecars_[seen.id];
+  if (!seen.address.empty()) sidecar.address = seen.address;
+  sidecar.last_seen_at = std::max(sidecar.last_seen_at, now - seen.age_ms * kMicrosPerMs);
 }
 
-SidecarRegistry::Place SidecarRegistry::PlaceOf(const std::string& name, Micros now) const {
-  Place place;
+SidecarRegistry::WindowPosition SidecarRegistry::WindowPositionOf(const std::string& name, Micros now) const {
+  WindowPosition position;
   int count = 0;
   for (const auto& [other, sidecar] : sidecars_) {
-    if (now - sidecar.heard_at > kLostAfter) continue;
-    if (other == name) place.number = count;
+    if (!IsLive(sidecar, now)) continue;
+    if (other == name) position.index = count;
     ++count;
   }
-  place.count = std::max(count, 1);
-  return place;
+  position.count = std::max(count, 1);
+  return position;
 }
 
 Neighbors SidecarRegistry::NeighborsOf(const std::string& name, Micros now) const {
-  std::vector<const std::string*> ring;  // addresses, in the order of the numbers
+  std::vector<const std::string*> ring;  // addresses by position
   std::size_t own = 0;
   for (const auto& [other, sidecar] : sidecars_) {
-    if (now - sidecar.heard_at > kLostAfter) continue;
+    if (!IsLive(sidecar, now)) continue;
     if (other == name) own = ring.size();
     ring.push_back(&sidecar.address);
   }
-  Neighbors out;
   const std::size_t others = ring.empty() ? 0 : ring.size() - 1;
-  const std::size_t kept = std::min(others, kMostNeighbors);
-  std::string all;
-  for (std::size_t step = 0; step < kept; ++step) {
-    const std::size_t distance = step / 2 + 1;
-    const std::size_t at = step % 2 == 0 ? own + distance : own + ring.size() - distance;
-    const std::string& address = *ring[at % ring.size()];
+  const std::size_t count = std::min(others, kMaxNeighbors);
+  Neighbors neighbors;
+  std::string hashed;
+  for (std::size_t i = 0; i < count; ++i) {
+    const std::size_t distance = i / 2 + 1;
+    const bool after = i % 2 == 0;
+    const std::size_t index = after ? own + distance : own + ring.size() - distance;
+    const std::string& address = *ring[index % ring.size()];
     if (address.empty()) continue;
-    out.addresses.push_back(address);
-    all += address + ",";
+    neighbors.addresses.push_back(address);
+    hashed += address + ",";
   }
-  out.hash = out.addresses.empty() ? 0 : Hash(0, all);
-  return out;
+  neighbors.hash = neighbors.addresses.empty() ? 0 : Hash(0, hashed);
+  return neighbors;
 }
 
-std::vector<SidecarLastSeen> SidecarRegistry::HeardSince(Micros since, Micros now) const {
+std::vector<SidecarLastSeen> SidecarRegistry::LastSeenSince(Micros since, Micros now) const {
   std::vector<SidecarLastSeen> out;
   for (const auto& [name, sidecar] : sidecars_)
-    if (sidecar.heard_directly_at > since)
-      out.push_back({name, sidecar.address, (now - sidecar.heard_directly_at) / 1000});
+    if (sidecar.last_watch_at > since)
+      out.push_back({name, sidecar.address, (now - sidecar.last_watch_at) / kMicrosPerMs});
   return out;
 }
 
--- a/src/control/gossip/sidecar_registry.hpp
+++ b/src/control/gossip/sidecar_registry.hpp
@@ -1,45 +1,52 @@
-// The sidecars that the control processes have heard lately, and the number that each has among them. All
-// control processes that have heard the same give the same numbers. A core: it holds no clock, socket, file
+// The sidecars that the control processes have seen lately, and the position of each among them. Control
+// processes that have seen the same sidecars give the same positions. A core: it holds no clock, socket, file
 // or thread.
 #ifndef VIOLETWING_CONTROL_GOSSIP_SIDECAR_REGISTRY_HPP_
 #define VIOLETWING_CONTROL_GOSSIP_SIDECAR_REGISTRY_HPP_
 
-#include <cstdint>
 #include <map>
 #include <string>
 #include <vector>
 
 #include "common/time.hpp"
-#include "messages/peer.hpp"
+#include "control/gossip/exchange_message.hpp"
+#include "messages/watch.hpp"
 
 namespace violetwing {
 
+/// Sidecars by name, with the time of their last watch at any control process. Times are in microseconds of
+/// one steady clock.
 class SidecarRegistry {
  public:
-  // The place of one sidecar among all, from 0, and how many there are.
-  struct Place {
-    int number = 0;
-    int count = 1;
+  /// Where a sidecar's window lies among those of all live sidecars.
+  struct WindowPosition {
+    int index = 0;  ///< from 0, by name
+    int count = 1;  ///< of the live sidecars, at least 1
   };
 
-  // A call of the sidecar to this process. `address`: where it takes the reports of other sidecars.
-  void Hear(const std::string& name, const std::string& address, Micros now);
-  // A call to another control process, as that one tells.
-  void HearOf(const SidecarLastSeen& heard, Micros now);
-  int Count(Micros now) const { return PlaceOf({}, now).count; }
-  Place PlaceOf(const std::string& name, Micros now) const;
-  // Those with the nearest numbers on either side, as the numbers go round.
+  /// This process has received a watch of the sidecar. `address`: where the sidecar receives load reports of
+  /// other sidecars, empty for none.
+  void OnWatch(const std::string& name, const std::string& address, Micros now);
+  /// Another control process has received a watch.
+  void MergeLastSeen(const SidecarLastSeen& seen, Micros now);
+
+  /// The number of live sidecars, at least 1.
+  int Count(Micros now) const { return WindowPositionOf({}, now).count; }
+  WindowPosition WindowPositionOf(const std::string& name, Micros now) const;
+  /// The sidecars whose positions are nearest on both sides, where the last one is next to the first.
   Neighbors NeighborsOf(const std::string& name, Micros now) const;
-  // Those that this process itself has heard after `since`.
-  std::vector<SidecarLastSeen> HeardSince(Micros since, Micros now) const;
+  /// The sidecars whose watch this process itself has received after `since`.
+  std::vector<SidecarLastSeen> LastSeenSince(Micros since, Micros now) const;
 
  private:
   struct Sidecar {
     std::string address;
-    Micros heard_at = 0;           // by any control process
-    Micros heard_directly_at = 0;  // by this one; 0 if never
+    Micros last_seen_at = 0;   // at any control process
+    Micros last_watch_at = 0;  // at this one; 0: never
   };
 
+  static bool IsLive(const Sidecar& sidecar, Micros now);
+
   std::map<std::string, Sidecar> sidecars_;  // by name
 };
 
--- a/src/control/instances/departures.cpp
+++ b/src/control/instances/deregistrations.cpp
@@ -1,21 +1,21 @@
-#include "control/instances/departures.hpp"
+#include "control/instances/deregistrations.hpp"
 
 #include <algorithm>
 
 namespace violetwing {
 namespace {
 
-// Ids are never used again, and heartbeats are late by seconds: the oldest need not be known for ever.
-constexpr std::size_t kMostKept = 4000;
+// Ids are never reused and heartbeats are late by seconds at most, so that the oldest ids may be forgotten.
+constexpr std::size_t kMaxEntries = 4000;
 
 }  // namespace
 
 void Deregistrations::Apply(const std::string& id, Phase phase) {
-  const auto [it, fresh] = phases_.try_emplace(id, phase);
+  const auto [it, inserted] = phases_.try_emplace(id, phase);
   it->second = std::max(it->second, phase);
-  if (!fresh) return;
+  if (!inserted) return;
   order_.push_back(id);
-  if (order_.size() <= kMostKept) return;
+  if (order_.size() <= kMaxEntries) return;
   phases_.erase(order_.front());
   order_.pop_front();
 }
--- a/src/control/replication/shards.hpp
+++ b/src/control/replication/shards.hpp
@@ -15,9 +15,9 @@
 #include "common/time.hpp"
 #include "control/configuration/state.hpp"
 #include "control/consensus/membership.hpp"
-#include "control/instances/departures.hpp"
+#include "control/gossip/exchange_message.hpp"
+#include "control/instances/deregistrations.hpp"
 #include "control/replication/replicated_state_machine.hpp"
-#include "messages/peer.hpp"
 
 namespace violetwing {
 
--- a/src/dataplane/control_client/control_link.hpp
+++ b/src/dataplane/control_client/control_link.hpp
@@ -17,7 +17,7 @@
 #include "dataplane/control_client/control_process_selector.hpp"
 #include "dataplane/control_client/system_view.hpp"
 #include "dataplane/routing/directory.hpp"
-#include "messages/peer.hpp"
+#include "messages/watch.hpp"
 
 namespace violetwing {
 
--- a/src/dataplane/control_client/control_process_selector.hpp
+++ b/src/dataplane/control_client/control_process_selector.hpp
@@ -12,7 +12,7 @@
 
 #include "common/random.hpp"
 #include "common/time.hpp"
-#include "messages/peer.hpp"
+#include "messages/control_node.hpp"
 
 namespace violetwing {
 
--- a/src/dataplane/control_client/system_view.cpp
+++ b/src/dataplane/control_client/system_view.cpp
@@ -10,37 +10,37 @@
 WatchRequest SystemView::NextPull(int wait_ms, std::vector<ModelDemand> demand) const {
   WatchRequest request;
   request.node = node_;
-  request.address = address_;
+  request.load_report_address = address_;
   request.neighbors_hash = neighbors_.hash;
-  request.source = source_;
-  request.configuration = version();
-  request.takes_patches = takes_patches_;
-  request.known = known_;
+  request.incarnation = source_;
+  request.configuration_version = version();
+  request.accepts_patches = takes_patches_;
+  request.version_vector = known_;
   request.wait_ms = wait_ms;
   request.demand = std::move(demand);
   return request;
 }
 
 bool SystemView::Take(const WatchReply& reply) {
-  const bool moved = reply.number != number_ || reply.sidecars != sidecars_;
+  const bool moved = reply.window_position != number_ || reply.sidecar_count != sidecars_;
   const bool configured = TakeConfiguration(reply);
   const bool listed = TakeInstances(reply);
-  source_ = reply.source;
-  controls_ = reply.controls;
+  source_ = reply.incarnation;
+  controls_ = reply.control_nodes;
   const bool met = reply.neighbors.hash != neighbors_.hash;
   if (met) neighbors_ = reply.neighbors;
-  number_ = reply.number;
-  sidecars_ = reply.sidecars;
+  number_ = reply.window_position;
+  sidecars_ = reply.sidecar_count;
   return moved || configured || listed || met;
 }
 
 bool SystemView::TakeConfiguration(const WatchReply& reply) {
-  if (reply.configuration <= version()) return false;
-  if (reply.document.empty() && reply.patches.empty()) return false;
+  if (reply.configuration_version <= version()) return false;
+  if (reply.configuration_document.empty() && reply.configuration_patches.empty()) return false;
   std::optional<configuration::ReadResult> read = ReadConfiguration(reply);
   takes_patches_ = read && read->configuration != nullptr;  // else the whole document is asked for
   if (!takes_patches_) {
-    spdlog::error("version {} cannot be read: {}", reply.configuration,
+    spdlog::error("version {} cannot be read: {}", reply.configuration_version,
                   read ? ToText(read->findings) : "its patches do not fit the version held");
     return false;
   }
@@ -53,38 +53,39 @@
 
 // Nothing where patches do not lead from the version held to the answer's.
 std::optional<configuration::ReadResult> SystemView::ReadConfiguration(const WatchReply& reply) const {
-  if (reply.patches.empty()) return configuration::Read(reply.document);
+  if (reply.configuration_patches.empty()) return configuration::Read(reply.configuration_document);
   if (message_ == nullptr) return std::nullopt;
   std::vector<nlohmann::ordered_json> patches;
-  for (const std::string& patch : reply.patches)
+  for (const std::string& patch : reply.configuration_patches)
     patches.push_back(nlohmann::ordered_json::parse(patch, nullptr, /*allow_exceptions=*/false));
   std::optional<configuration::ReadResult> read = configuration::ReadPatched(*message_, patches);
   const bool fits =
-      read && read->configuration != nullptr && read->configuration->version == reply.configuration;
+      read && read->configuration != nullptr && read->configuration->version == reply.configuration_version;
   return fits ? std::move(read) : std::nullopt;
 }
 
 bool SystemView::TakeInstances(const WatchReply& reply) {
-  if (reply.whole) {
+  if (reply.complete) {
     Replace(reply);
     return true;
   }
-  for (const Instance& instance : reply.changed) Merge(instance);
-  for (const auto& [origin, counter] : reply.known) known_[origin] = std::max(known_[origin], counter);
-  return !reply.changed.empty();
+  for (const Instance& instance : reply.changed_instances) Merge(instance);
+  for (const auto& [origin, counter] : reply.version_vector)
+    known_[origin] = std::max(known_[origin], counter);
+  return !reply.changed_instances.empty();
 }
 
 // What another control process had told goes, but that a server leaves: this one may hear of it later.
 void SystemView::Replace(const WatchReply& reply) {
   const std::map<std::string, Instance> before = std::exchange(instances_, {});
-  for (const Instance& instance : reply.changed) {
+  for (const Instance& instance : reply.changed_instances) {
     const auto known = before.find(instance.id);
-    const bool leaves = known != before.end() && Leaves(known->second.phase);
+    const bool leaves = known != before.end() && IsLeaving(known->second.phase);
     if (leaves) instances_[instance.id] = known->second;
     Merge(instance);
   }
   // Lives of control processes that are over leave nothing behind.
-  known_ = reply.known;
+  known_ = reply.version_vector;
 }
 
 void SystemView::Merge(const Instance& instance) {
@@ -94,8 +95,8 @@
     return;
   }
   Instance& known = it->second;
-  if (instance.sequence < known.sequence && !Leaves(instance.phase)) return;
-  const Phase phase = LaterPhase(known.phase, instance.phase);
+  if (instance.sequence < known.sequence && !IsLeaving(instance.phase)) return;
+  const Phase phase = MergePhase(known.phase, instance.phase);
   known = instance;
   known.phase = phase;
 }
--- a/src/dataplane/control_client/system_view.hpp
+++ b/src/dataplane/control_client/system_view.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "dataplane/routing/directory.hpp"
-#include "messages/peer.hpp"
+#include "messages/watch.hpp"
 
 namespace violetwing {
 
--- a/src/messages/instances.hpp
+++ b/src/messages/instances.hpp
@@ -1,4 +1,4 @@
-// What the control processes and the sidecars tell each other of model servers.
+// Model servers (instances) as control processes and sidecars know them, and the demand for models.
 #ifndef VIOLETWING_MESSAGES_INSTANCES_HPP_
 #define VIOLETWING_MESSAGES_INSTANCES_HPP_
 
@@ -11,23 +11,27 @@
 
 namespace violetwing {
 
-// Later phases go before earlier ones of the same sequence number.
+/// Life cycle of an instance. Of two records with the same sequence number the later phase wins.
 enum class Phase {
   kReady,
-  kLost,          // no heartbeat for long: no requests, but it may come back
-  kDraining,      // it has said that it leaves
-  kDeregistered,  // it has said that it has left, or another server has its address
+  kLost,          ///< no heartbeat within the time-out: gets no requests, but may come back
+  kDraining,      ///< it has announced its shutdown
+  kDeregistered,  ///< it has deregistered, or another instance took its address
 };
 NLOHMANN_JSON_SERIALIZE_ENUM(Phase, {{Phase::kReady, "ready"},
                                      {Phase::kLost, "lost"},
                                      {Phase::kDraining, "draining"},
                                      {Phase::kDeregistered, "gone"}})
 
-inline bool Leaves(Phase phase) { return phase == Phase::kDraining || phase == Phase::kDeregistered; }
-// What has left stays so, whatever a later or reordered message says.
-inline Phase LaterPhase(Phase known, Phase told) { return Leaves(known) ? std::max(known, told) : told; }
+/// Whether the instance is draining or deregistered, which no later message revokes.
+inline bool IsLeaving(Phase phase) { return phase == Phase::kDraining || phase == Phase::kDeregistered; }
+/// The phase after a message: an instance that leaves keeps doing so, whatever a late or reordered message
+/// says.
+inline Phase MergePhase(Phase known, Phase received) {
+  return IsLeaving(known) ? std::max(known, received) : received;
+}
 
-// Weights that a server holds, with the adapters of them.
+/// Weights that a server has loaded, with their adapters.
 struct HeldModel {
   std::string name;
   std::int64_t version = 0;
@@ -36,34 +40,36 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(HeldModel, name, version, adapters)
 
-// One start of one server, as it was last heard of.
+/// One start of one model server, by its last heartbeat.
 struct Instance {
   std::string id;
-  std::string backend;  // the service
-  std::string address;  // host:port
+  std::string backend;  ///< name of the service
+  std::string address;  ///< "host:port"
   std::string zone;
-  int capacity = 1;
+  int capacity = 1;  ///< concurrent requests
   Phase phase = Phase::kReady;
   std::vector<HeldModel> models;
-  std::int64_t sequence = 0;  // of its heartbeat
-  // Which control process changed the record, and its how-manieth change that was.
+  std::int64_t sequence = 0;  ///< of its last heartbeat
+  /// Version of the record: the incarnation of the control process that changed it last, and the number of
+  /// that change among all changes of that incarnation.
   std::string origin;
   std::uint64_t counter = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(Instance, id, backend, address, zone, capacity, phase, models,
                                                 sequence, origin, counter)
 
-// For each control process the number of its last change that is known: what is newer is missing.
+/// For each incarnation of a control process the number of its last change that is known.
 using VersionVector = std::map<std::string, std::uint64_t>;
 
-// Requests for a model, or an adapter of it ("model/adapter"), since the last report.
+/// Requests for a model, or an adapter of it ("model/adapter"), since the last report.
 struct ModelDemand {
   std::string backend;
   std::string model;
   double requests = 0;
-  double tokens = 0;  // read and put out, in tokens read
-  int waiting = 0;    // requests held until a server has it
+  double tokens = 0;  ///< prefill and decode together, as the equivalent of prefill tokens
+  int waiting = 0;    ///< requests that wait until a server has loaded it
 };
+
 }  // namespace violetwing
 
 #endif  // VIOLETWING_MESSAGES_INSTANCES_HPP_
--- a/src/messages/load.hpp
+++ b/src/messages/load.hpp
@@ -1,5 +1,5 @@
-// What sidecars tell each other of the prompts that they have sent to model servers: one datagram a report. A
-// report that is lost is not sent again; its prompts are merely not known elsewhere.
+// Load reports: the prompts that a sidecar has sent to model servers, for its neighbors. One datagram per
+// report; a lost report is not sent again, and the receivers then do not count its prompts.
 #ifndef VIOLETWING_MESSAGES_LOAD_HPP_
 #define VIOLETWING_MESSAGES_LOAD_HPP_
 
@@ -10,21 +10,22 @@
 
 namespace violetwing {
 
-// A prompt that was sent to a server, which keeps its parts from now on.
+/// A prompt that was sent to a server, whose prefix cache holds its parts from now on.
 struct SentPrompt {
-  std::string server;   // instance id
-  std::string weights;  // "model" or "model/adapter"
-  std::string parts;    // as in X-Violetwing-Prompt-Prefix
-  double read_ms = 0;   // that the server takes to read it, as the sender expects
+  std::string server;   ///< instance id
+  std::string weights;  ///< "model" or "model/adapter"
+  std::string parts;    ///< prompt parts, in the form of the header X-Violetwing-Prompt-Prefix
+  double read_ms = 0;   ///< expected prefill time on that server, in milliseconds
 };
 
+/// The prompts that one sidecar has sent since its last report.
 struct LoadReport {
-  std::string node;  // the sender
+  std::string node;  ///< name of the sending sidecar
   std::vector<SentPrompt> prompts;
 };
 
 std::string Encode(const LoadReport& report);
-// Empty where the bytes are no report, or lack a field.
+/// Empty if the bytes are not a report, or if a field is missing.
 std::optional<LoadReport> DecodeLoadReport(std::string_view bytes);
 
 }  // namespace violetwing
--- a/src/messages/parse.hpp
+++ b/src/messages/parse.hpp
@@ -1,4 +1,4 @@
-// Reads protocol buffers that come from elsewhere. Nothing is logged where they cannot be read: callers do.
+// Parsing of protocol buffers that other processes sent. Nothing is logged here: callers log what fails.
 #ifndef VIOLETWING_MESSAGES_PARSE_HPP_
 #define VIOLETWING_MESSAGES_PARSE_HPP_
 
@@ -7,13 +7,13 @@
 
 namespace violetwing::wire {
 
-// Empty where the bytes are no such message, or lack a required field.
+/// Parses `bytes` as a `Message`. Empty if they are not such a message, or if a required field is missing.
 template <class Message>
 std::optional<Message> Parse(std::string_view bytes) {
   std::optional<Message> parsed(std::in_place);
-  const bool whole =
+  const bool complete =
       parsed->ParsePartialFromArray(bytes.data(), static_cast<int>(bytes.size())) && parsed->IsInitialized();
-  if (!whole) parsed.reset();
+  if (!complete) parsed.reset();
   return parsed;
 }
 
--- /dev/null
+++ b/src/messages/wire_conversion.hpp
@@ -0,0 +1,37 @@
+// Conversions between the message types of this folder and their generated protocol buffer types
+// (internal.proto), shared by the encoders of several messages.
+#ifndef VIOLETWING_MESSAGES_WIRE_CONVERSION_HPP_
+#define VIOLETWING_MESSAGES_WIRE_CONVERSION_HPP_
+
+#include <vector>
+
+#include "messages/control_node.hpp"
+#include "messages/instances.hpp"
+
+namespace violetwing::wire {
+class ControlNode;
+class ControlNodes;
+class Demand;
+class Instances;
+class VersionVector;
+}  // namespace violetwing::wire
+
+namespace violetwing {
+
+/// Each adds the items of its first argument to `out`. An enumerator that the wire does not know reads back
+/// as the ready phase.
+void ToWire(const std::vector<Instance>& instances, wire::Instances& out);
+void ToWire(const VersionVector& version_vector, wire::VersionVector& out);
+void ToWire(const std::vector<ModelDemand>& demand, wire::Demand& out);
+void ToWire(const ControlNode& node, wire::ControlNode& out);
+void ToWire(const std::vector<ControlNode>& nodes, wire::ControlNodes& out);
+
+std::vector<Instance> FromWire(const wire::Instances& in);
+VersionVector FromWire(const wire::VersionVector& in);
+std::vector<ModelDemand> FromWire(const wire::Demand& in);
+ControlNode FromWire(const wire::ControlNode& in);
+std::vector<ControlNode> FromWire(const wire::ControlNodes& in);
+
+}  // namespace violetwing
+
+#endif  // VIOLETWING_MESSAGES_WIRE_CONVERSION_HPP_
--- a/tests/control/configuration/patches_test.cpp
+++ b/tests/control/configuration/patches_test.cpp
@@ -24,9 +24,9 @@
 // An answer to a sidecar that holds an earlier version.
 WatchReply ReplyOf(std::int64_t version, std::string document, Texts patches) {
   WatchReply reply;
-  reply.configuration = version;
-  reply.document = std::move(document);
-  reply.patches = std::move(patches);
+  reply.configuration_version = version;
+  reply.configuration_document = std::move(document);
+  reply.configuration_patches = std::move(patches);
   return reply;
 }
 
@@ -84,21 +84,21 @@
 
 TEST_CASE("A sidecar applies patches to the version it holds, and asks for the whole where they do not fit") {
   SystemView view("edge");
-  CHECK_FALSE(view.NextPull(0, {}).takes_patches);  // it holds nothing yet
+  CHECK_FALSE(view.NextPull(0, {}).accepts_patches);  // it holds nothing yet
   CHECK_FALSE(view.Take(ReplyOf(2, "", {PatchDocument(2, 2000)})));
   REQUIRE(view.Take(ReplyOf(1, Document(1), {})));
-  CHECK(view.NextPull(0, {}).takes_patches);
+  CHECK(view.NextPull(0, {}).accepts_patches);
   REQUIRE(view.Take(ReplyOf(3, "", {PatchDocument(2, 2000), PatchDocument(3, 3000)})));
   CHECK(view.version() == 3);
   for (const Texts& unfit :
        {Texts{"{"}, Texts{PatchDocument(4, 0)}, Texts{PatchDocument(4, 4000)}, Texts{"[]"}}) {
     CHECK_FALSE(view.Take(ReplyOf(5, "", unfit)));  // unreadable, invalid, to another version, no patch
     CHECK(view.version() == 3);
-    CHECK_FALSE(view.NextPull(0, {}).takes_patches);
+    CHECK_FALSE(view.NextPull(0, {}).accepts_patches);
   }
   REQUIRE(view.Take(ReplyOf(5, Document(5), {})));
   CHECK(view.version() == 5);
-  CHECK(view.NextPull(0, {}).takes_patches);
+  CHECK(view.NextPull(0, {}).accepts_patches);
   CHECK_FALSE(view.Take(ReplyOf(4, "", {PatchDocument(4, 4000)})));  // an answer that comes late
   CHECK(view.version() == 5);
 }
@@ -135,8 +135,8 @@
     if (message.path != kWatchPath || !message.answer) return;
     const auto answer = Decode<WatchReply>(message.body);
     if (!answer) return;
-    documents += answer->document.empty() ? 0 : 1;
-    patches += answer->patches.empty() ? 0 : 1;
+    documents += answer->configuration_document.empty() ? 0 : 1;
+    patches += answer->configuration_patches.empty() ? 0 : 1;
   };
   for (std::int64_t version = 2; version <= 6; ++version) {
     change("PATCH", version - 1, PatchDocument(version, static_cast<int>(version) * 1000));
--- a/tests/control/instances/instances_test.cpp
+++ b/tests/control/instances/instances_test.cpp
@@ -1,8 +1,8 @@
-// What control processes know of servers, and how they share it.
+// The instance table and the deregistrations: heartbeats, expiry and anti-entropy between control processes.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
-#include "control/instances/departures.hpp"
+#include "control/instances/deregistrations.hpp"
 #include "control/instances/instance_table.hpp"
 
 namespace violetwing {
@@ -22,33 +22,33 @@
 
 Phase PhaseOf(const InstanceTable& table, const std::string& id) { return table.Find(id)->instance.phase; }
 
-// One exchange: `to` takes what it misses from `from`.
+// One exchange: `to` takes what it lacks from `from`.
 void Exchange(const InstanceTable& from, InstanceTable& to, std::int64_t now) {
-  to.Merge(from.ChangedSince(to.known()), now);
-  for (const LastSeen& heard : from.HeardSince(0, now)) to.Hear(heard, now);
+  to.MergeChanges(from.ChangedSince(to.version_vector()), now);
+  for (const LastSeen& seen : from.LastSeenSince(0, now)) to.MergeLastSeen(seen, now);
 }
 
-// The table is looked at all the time; a long pause would say that the process stood still.
-void Pass(InstanceTable& table, std::int64_t& now, std::int64_t span, bool has_quorum_contact = true) {
-  for (const std::int64_t until = now + span; now < until;)
+// Expires at short intervals: a long pause would be taken for a suspension of the process.
+void Advance(InstanceTable& table, std::int64_t& now, std::int64_t duration, bool has_quorum_contact = true) {
+  for (const std::int64_t until = now + duration; now < until;)
     table.Expire(now += kSecond / 10, has_quorum_contact);
 }
 
 }  // namespace
 
-TEST_CASE("A late heartbeat never revives a server that has left") {
+TEST_CASE("A late heartbeat never revives a draining or deregistered instance") {
   InstanceTable table("a", kLostAfter);
   CHECK(table.Heartbeat(Server("i", 5), kSecond));
-  table.Leave("i", Phase::kDraining, kSecond);
+  table.ApplyDeregistration("i", Phase::kDraining, kSecond);
   CHECK_FALSE(table.Heartbeat(Server("i", 4), kSecond));
   CHECK(table.Heartbeat(Server("i", 6), kSecond));
   CHECK(PhaseOf(table, "i") == Phase::kDraining);
-  table.Leave("i", Phase::kDeregistered, kSecond);
-  table.Leave("i", Phase::kDraining, kSecond);
+  table.ApplyDeregistration("i", Phase::kDeregistered, kSecond);
+  table.ApplyDeregistration("i", Phase::kDraining, kSecond);
   CHECK(PhaseOf(table, "i") == Phase::kDeregistered);
 }
 
-TEST_CASE("A server at the address of another one has taken its place") {
+TEST_CASE("A heartbeat from the address of another instance deregisters that instance") {
   InstanceTable table("a", kLostAfter);
   table.Heartbeat(Server("old", 5), kSecond);
   table.Heartbeat(Server("new", 1), 2 * kSecond);
@@ -56,12 +56,12 @@
   CHECK(PhaseOf(table, "new") == Phase::kReady);
 }
 
-TEST_CASE("A silent server is lost, and comes back with its next heartbeat anywhere") {
+TEST_CASE("An instance without heartbeats is lost, and ready again after a heartbeat at any process") {
   InstanceTable a("a", kLostAfter);
   InstanceTable b("b", kLostAfter);
   std::int64_t now = kSecond;
   a.Heartbeat(Server("i", 1), now);
-  Pass(a, now, kLostAfter + kSecond);
+  Advance(a, now, kLostAfter + kSecond);
   CHECK(PhaseOf(a, "i") == Phase::kLost);
   Exchange(a, b, now);
   CHECK(PhaseOf(b, "i") == Phase::kLost);
@@ -70,61 +70,61 @@
   CHECK(PhaseOf(a, "i") == Phase::kReady);
 }
 
-TEST_CASE("Heartbeats at another process keep a server alive here") {
+TEST_CASE("Heartbeats at another process keep an instance ready at this one") {
   InstanceTable a("a", kLostAfter);
   InstanceTable b("b", kLostAfter);
   std::int64_t now = kSecond;
-  for (int beat = 1; beat < 10; ++beat) {
-    b.Heartbeat(Server("i", beat), now);
+  for (int sequence = 1; sequence < 10; ++sequence) {
+    b.Heartbeat(Server("i", sequence), now);
     Exchange(b, a, now);
-    Pass(a, now, kSecond);
+    Advance(a, now, kSecond);
   }
   CHECK(PhaseOf(a, "i") == Phase::kReady);
 }
 
-TEST_CASE("A process that is cut off, or stood still, declares nobody lost") {
+TEST_CASE("A process without quorum contact, or resumed after a suspension, declares no instance lost") {
   InstanceTable table("a", kLostAfter);
   std::int64_t now = kSecond;
   table.Heartbeat(Server("i", 1), now);
-  Pass(table, now, 10 * kSecond, false);
+  Advance(table, now, 10 * kSecond, false);
   CHECK(PhaseOf(table, "i") == Phase::kReady);
-  now += 10 * kSecond;  // frozen
+  now += 10 * kSecond;  // suspended
   table.Expire(now, true);
-  Pass(table, now, kSecond);
+  Advance(table, now, kSecond);
   CHECK(PhaseOf(table, "i") == Phase::kReady);
 }
 
-TEST_CASE("One that was declared lost by mistake is ready again for those who heard of that") {
+TEST_CASE("A wrongly lost instance is ready again also for readers of the process that declared it lost") {
   InstanceTable a("a", kLostAfter);
   InstanceTable b("b", kLostAfter);
   std::int64_t now = kSecond;
   a.Heartbeat(Server("i", 1), now);
   Exchange(a, b, now);
-  Pass(b, now, kLostAfter + kSecond);  // b hears nothing of it
-  VersionVector reader = b.known();    // a sidecar that pulled from b
+  Advance(b, now, kLostAfter + kSecond);      // no heartbeat reaches b
+  VersionVector reader = b.version_vector();  // a sidecar whose last watch was at b
   REQUIRE(PhaseOf(b, "i") == Phase::kLost);
   a.Heartbeat(Server("i", 4), now);
   Exchange(b, a, now);
-  REQUIRE(a.Misses(reader));
+  REQUIRE(a.HasUpdatesFor(reader));
   CHECK(a.ChangedSince(reader)[0].phase == Phase::kReady);
 }
 
-TEST_CASE("A version vector brings over what is missing, and nothing twice") {
+TEST_CASE("ChangedSince returns what a version vector lacks, and nothing twice") {
   InstanceTable a("a", kLostAfter);
   for (int i = 0; i < 10; ++i)
     a.Heartbeat(Server("i" + std::to_string(i), 1, "10.0.0.1:" + std::to_string(100 + i)), kSecond);
   InstanceTable b("b", kLostAfter);
   Exchange(a, b, kSecond);
   CHECK(b.size() == 10);
-  CHECK_FALSE(a.Misses(b.known()));
+  CHECK_FALSE(a.HasUpdatesFor(b.version_vector()));
   a.Heartbeat(Server("i3", 2, "10.0.0.1:103"), kSecond);
-  CHECK_FALSE(a.Misses(b.known()));  // the same news
+  CHECK_FALSE(a.HasUpdatesFor(b.version_vector()));  // nothing but the sequence has changed
   a.SetModels("i3", {{"m", 1, {}}});
-  REQUIRE(a.ChangedSince(b.known()).size() == 1);
-  CHECK(a.ChangedSince(b.known())[0].id == "i3");
+  REQUIRE(a.ChangedSince(b.version_vector()).size() == 1);
+  CHECK(a.ChangedSince(b.version_vector())[0].id == "i3");
 }
 
-TEST_CASE("All that is missing is brought over, in whatever order it comes") {
+TEST_CASE("MergeChanges takes all changes in whatever order they come") {
   InstanceTable a("a", kLostAfter);
   for (int i = 0; i < 50; ++i)
     a.Heartbeat(Server("i" + std::to_string(i * 7919 % 1000), 1, "10.0.0.1:" + std::to_string(i)), kSecond);
@@ -135,13 +135,13 @@
   for (const bool reversed : {false, true}) {
     if (reversed) std::reverse(changed.begin(), changed.end());
     InstanceTable b("b", kLostAfter);
-    b.Merge(changed, kSecond);
+    b.MergeChanges(changed, kSecond);
     CHECK(b.size() == 50);
-    CHECK_FALSE(a.Misses(b.known()));
+    CHECK_FALSE(a.HasUpdatesFor(b.version_vector()));
   }
 }
 
-TEST_CASE("Deregistrations outlive the process that took them") {
+TEST_CASE("Deregistrations are equal after Save and Load") {
   Deregistrations deregistrations;
   deregistrations.Apply("i", Phase::kDraining);
   deregistrations.Apply("j", Phase::kDeregistered);
@@ -153,7 +153,7 @@
   CHECK_FALSE(loaded.Find("k").has_value());
 }
 
-TEST_CASE("Deregistrations are bounded, the oldest are forgotten first") {
+TEST_CASE("Deregistrations are bounded and evict the oldest first") {
   Deregistrations deregistrations;
   for (int i = 0; i < 5000; ++i) deregistrations.Apply(std::to_string(i), Phase::kDeregistered);
   CHECK(deregistrations.all().size() == 4000);
--- a/tests/control/system_test.cpp
+++ b/tests/control/system_test.cpp
@@ -400,8 +400,8 @@
 
 namespace {
 
-// What control process 1 tells of one server, as another process heard of it.
-ExchangeRequest TellOf(VirtualSystem& system, const std::string& id, Phase phase) {
+// An exchange of control process 1 with one change, which another process has made.
+ExchangeRequest ExchangeAbout(VirtualSystem& system, const std::string& id, Phase phase) {
   Instance server;
   server.id = id;
   server.backend = "s";
@@ -411,10 +411,10 @@
   server.origin = "another";
   server.counter = 5;
   ExchangeRequest request;
-  request.from.node = "control-1";
-  request.from.address = system.control(1).address;
-  request.source = "incarnation of 1";
-  request.changed = {server};
+  request.sender.node = "control-1";
+  request.sender.address = system.control(1).address;
+  request.incarnation = "incarnation of 1";
+  request.changed_instances = {server};
   return request;
 }
 
@@ -426,12 +426,12 @@
   VirtualSystem system(3, 1, 1);
   system.Run(kSecond);
   ControlCore& core = *system.control(0).core;
-  ExchangeRequest request = TellOf(system, "i-1", Phase::kReady);
-  request.changed_for = "incarnation before";
-  const ExchangeReply refused = core.Exchange(request, system.now());
-  CHECK(refused.known.count("another") == 0);
-  request.changed_for = refused.source;
-  CHECK(core.Exchange(request, system.now()).known.at("another") == 5);
+  ExchangeRequest request = ExchangeAbout(system, "i-1", Phase::kReady);
+  request.receiver_incarnation = "incarnation before";
+  const ExchangeReply refused = core.OnExchangeRequest(request, system.now());
+  CHECK(refused.version_vector.count("another") == 0);
+  request.receiver_incarnation = refused.incarnation;
+  CHECK(core.OnExchangeRequest(request, system.now()).version_vector.at("another") == 5);
 }
 
 TEST_CASE("Cores: an exchange that tells changes names the incarnation by whose knowledge they go") {
@@ -441,9 +441,9 @@
   play.system.tamper = [&](WireMessage& message) {
     if (message.path != kExchangePath || message.answer) return;
     const ExchangeRequest request = Decode<ExchangeRequest>(message.body).value();
-    if (request.changed.empty()) return;
+    if (request.changed_instances.empty()) return;
     ++told;
-    unnamed += request.changed_for.empty() ? 1 : 0;
+    unnamed += request.receiver_incarnation.empty() ? 1 : 0;
   };
   play.Configure(3, 0);
   play.AwaitServers(2);
@@ -475,7 +475,7 @@
         message.path == kExchangePath && message.answer ? Decode<ExchangeReply>(message.body) : std::nullopt;
     if (!reply) return;
     ++answers;
-    telling += reply->controls.empty() ? 0 : 1;
+    telling += reply->control_nodes.empty() ? 0 : 1;
   };
   system.Run(kSeconds * kSecond);
   const int pairs = 3 * 2;
@@ -496,12 +496,12 @@
   system.Run(kSecond);
   ControlCore& core = *system.control(0).core;
   REQUIRE(core.shards().Deregistered("i-1") == Phase::kDeregistered);  // and it has heard of no such server
-  core.Exchange(TellOf(system, "i-1", Phase::kReady), system.now());
-  ExchangeRequest asking = TellOf(system, "i-1", Phase::kReady);
-  asking.changed.clear();
-  const ExchangeReply reply = core.Exchange(asking, system.now());
-  REQUIRE(reply.changed.size() == 1);
-  CHECK(reply.changed[0].phase == Phase::kDeregistered);
+  core.OnExchangeRequest(ExchangeAbout(system, "i-1", Phase::kReady), system.now());
+  ExchangeRequest asking = ExchangeAbout(system, "i-1", Phase::kReady);
+  asking.changed_instances.clear();
+  const ExchangeReply reply = core.OnExchangeRequest(asking, system.now());
+  REQUIRE(reply.changed_instances.size() == 1);
+  CHECK(reply.changed_instances[0].phase == Phase::kDeregistered);
 }
 
 // A sidecar that asks again while servers have changed meanwhile was answered each time, as fast as it could
@@ -514,7 +514,8 @@
   std::map<std::string, int> answers;
   system.tamper = [&](WireMessage& message) {
     if (message.path != kWatchPath || !message.answer) return;
-    if (const auto answer = Decode<WatchReply>(message.body)) ++answers[std::to_string(answer->number)];
+    if (const auto answer = Decode<WatchReply>(message.body))
+      ++answers[std::to_string(answer->window_position)];
   };
   const Micros begin = system.now();
   for (int sequence = 1; system.now() < begin + 4 * kSecond; ++sequence) {
@@ -546,14 +547,14 @@
   request.node = "edge-2";
   const auto pull = [&] {
     reply.reset();
-    core.Pull(request, play.system.now(), [&](const std::optional<WatchReply>& got) { reply = got; });
+    core.Watch(request, play.system.now(), [&](const std::optional<WatchReply>& got) { reply = got; });
     REQUIRE(reply.has_value());
-    CHECK(reply->whole);
-    CHECK(reply->changed.size() == 2);
+    CHECK(reply->complete);
+    CHECK(reply->changed_instances.size() == 2);
   };
   pull();
-  request.source = "the incarnation of another process";
-  request.known = reply->known;
+  request.incarnation = "the incarnation of another process";
+  request.version_vector = reply->version_vector;
   pull();
 }
 
--- a/tests/control/worst_days_test.cpp
+++ b/tests/control/worst_days_test.cpp
@@ -208,7 +208,7 @@
   day.system.tamper = [&](testing::WireMessage& message) {
     if (message.path != kWatchPath || !message.answer) return;
     const auto answer = Decode<WatchReply>(message.body);
-    documents += answer && !answer->document.empty();
+    documents += answer && !answer->configuration_document.empty();
   };
   const Micros from = day.system.now();
   std::int64_t version = 1;
--- a/tests/dataplane/control_client/control_link_test.cpp
+++ b/tests/dataplane/control_client/control_link_test.cpp
@@ -38,11 +38,11 @@
 // The answer that a control process gives when nothing is wrong.
 WatchReply Good(std::int64_t version, const Instance& instance) {
   WatchReply reply;
-  reply.source = "control";
-  reply.configuration = version;
-  reply.document = Document(version);
-  reply.changed = {instance};
-  reply.known = {{"control", instance.counter}};
+  reply.incarnation = "control";
+  reply.configuration_version = version;
+  reply.configuration_document = Document(version);
+  reply.changed_instances = {instance};
+  reply.version_vector = {{"control", instance.counter}};
   return reply;
 }
 
@@ -113,7 +113,7 @@
 TEST_CASE("An answer with a field changed or missing changes nothing that it should not") {
   const wire::PullReply form;
   WatchReply good = Good(9, Server(Phase::kReady, 2, 2));
-  good.document = "{";  // so that none of these is a good answer
+  good.configuration_document = "{";  // so that none of these is a good answer
   const std::string bytes = Encode(good);
   std::vector<std::string> changed = {
       Reply("503 Service Unavailable", "{}\n"), Ok("{}"), Ok("[]"), "", "not HTTP\r\n\r\n",
@@ -134,8 +134,8 @@
 
 TEST_CASE("A patch that names an item by something that is no name is passed over") {
   WatchReply odd = Good(6, Server(Phase::kReady, 2, 2));
-  odd.document.clear();
-  odd.patches = {R"({"version":6,"delete":{"routes":[7]}})"};
+  odd.configuration_document.clear();
+  odd.configuration_patches = {R"({"version":6,"delete":{"routes":[7]}})"};
   Link link;
   link.Play({Ok(Good(5, Server(Phase::kReady, 1, 1))), Ok(odd), Ok(Good(7, Server(Phase::kReady, 3, 3)))});
   CHECK(link.version() == 7);
@@ -151,8 +151,8 @@
 
 TEST_CASE("A whole list replaces what another control process had told, but not that a server leaves") {
   WatchReply whole = Good(5, Server(Phase::kReady, 3, 1));
-  whole.source = "another";
-  whole.whole = true;
+  whole.incarnation = "another";
+  whole.complete = true;
   Link lost;
   lost.Play({Ok(Good(5, Server(Phase::kLost, 4, 1))), Ok(whole)});
   CHECK(lost.Serves());
--- a/tests/dataplane/load_balancing/load_report_test.cpp
+++ b/tests/dataplane/load_balancing/load_report_test.cpp
@@ -169,8 +169,8 @@
   SidecarRegistry one;
   SidecarRegistry other;
   const auto address = [](int i) { return "10.0.0." + std::to_string(i) + ":7660"; };
-  for (int i = 10; i < 60; ++i) one.Hear("edge-" + std::to_string(i), address(i), kSecond);
-  for (const SidecarLastSeen& heard : one.HeardSince(0, kSecond)) other.HearOf(heard, kSecond);
+  for (int i = 10; i < 60; ++i) one.OnWatch("edge-" + std::to_string(i), address(i), kSecond);
+  for (const SidecarLastSeen& seen : one.LastSeenSince(0, kSecond)) other.MergeLastSeen(seen, kSecond);
   const Neighbors neighbors = one.NeighborsOf("edge-30", kSecond);
   REQUIRE(neighbors.addresses.size() == 24);
   for (int i = 18; i <= 42; ++i) {
@@ -185,12 +185,12 @@
 TEST_CASE("A sidecar has no neighbor twice, and none where it is alone or its neighbors take no reports") {
   SidecarRegistry sidecars;
   CHECK(sidecars.NeighborsOf("a", kSecond).addresses.empty());
-  sidecars.Hear("a", "10.0.0.1:1", kSecond);
+  sidecars.OnWatch("a", "10.0.0.1:1", kSecond);
   CHECK(sidecars.NeighborsOf("a", kSecond).addresses.empty());
   CHECK(sidecars.NeighborsOf("a", kSecond).hash == 0);
-  sidecars.Hear("b", "", kSecond);
+  sidecars.OnWatch("b", "", kSecond);
   CHECK(sidecars.NeighborsOf("a", kSecond).addresses.empty());
-  sidecars.Hear("c", "10.0.0.3:1", kSecond);
+  sidecars.OnWatch("c", "10.0.0.3:1", kSecond);
   CHECK(sidecars.NeighborsOf("a", kSecond).addresses == std::vector<std::string>{"10.0.0.3:1"});
   CHECK(sidecars.NeighborsOf("a", 60 * kSecond).addresses.empty());
 }
--- a/tests/testing/virtual_system.hpp
+++ b/tests/testing/virtual_system.hpp
@@ -120,7 +120,7 @@
           controls_[i].address, to, kExchangePath, Encode(request),
           [this, i, to, incarnation = controls_[i].incarnation](int status, const std::string& body) {
             if (controls_[i].core == nullptr || controls_[i].incarnation != incarnation) return;
-            controls_[i].core->Exchanged(to, Read<ExchangeReply>(status, body), now_);
+            controls_[i].core->OnExchangeReply(to, Read<ExchangeReply>(status, body), now_);
           });
     };
     outputs.order = [this, i](const PlacementCall& call, consensus::Term fencing_token) {
