--- a/src/control/api/handlers.cpp
+++ b/src/control/api/handlers.cpp
@@ -53,9 +53,10 @@
   return 400;
 }
 
-ControlCore::OnTaken AnswersTaken(const http::Answer& answer) {
-  return [answer](ControlCore::Taken taken) {
-    answer(taken == ControlCore::Taken::kTaken ? Done() : Unavailable("no quorum has taken it yet"));
+ControlCore::AcceptanceCallback AcceptanceAnswer(const http::Answer& answer) {
+  return [answer](ControlCore::Acceptance acceptance) {
+    answer(acceptance == ControlCore::Acceptance::kAccepted ? Done()
+                                                            : Unavailable("no quorum has taken it yet"));
   };
 }
 
@@ -73,7 +74,7 @@
   if (instance.backend.empty() || instance.address.empty())
     return answer(Problem(400, "backend or address is missing"));
   instance.id = id;
-  core.Heartbeat(std::move(instance), draining, now, AnswersTaken(answer));
+  core.Heartbeat(std::move(instance), draining, now, AcceptanceAnswer(answer));
 }
 
 void HandleChange(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
@@ -116,7 +117,7 @@
   } else if (request.path.rfind(kInstancesPath, 0) == 0) {
     const std::string id = request.path.substr(std::string(kInstancesPath).size());
     if (request.method == "PUT") return HandleHeartbeat(core, id, request.body, now, answer);
-    if (request.method == "DELETE") return core.Deregister(id, now, AnswersTaken(answer));
+    if (request.method == "DELETE") return core.Deregister(id, now, AcceptanceAnswer(answer));
   }
   answer(NotFound(request));
 }
@@ -135,7 +136,7 @@
   if (request.path == kDemandPath) {
     const auto demand = Decode<std::vector<ModelDemand>>(request.body);
     if (!demand) return unreadable();
-    core.Demand(*demand, now);
+    core.OnDemand(*demand, now);
     return answer(Done());
   }
   answer(NotFound(request));
--- a/src/control/control_core.cpp
+++ b/src/control/control_core.cpp
@@ -6,28 +6,20 @@
 namespace violetwing {
 namespace {
 
-// Heartbeats that a server may miss before it is taken for lost.
+constexpr Micros kMicrosPerMs = 1000;
+// The shard whose state is the configuration.
+constexpr int kConfigurationShard = 0;
+// Heartbeats that a server may miss before it counts as lost.
 constexpr int kMissedHeartbeats = 3;
-// A pull is answered at the latest after so long, whatever the caller asks for.
-constexpr int kMostPullWaitMs = 2'000;
-// Each wake for a change of servers costs every sidecar that waits a call and a new directory: the more
-// sidecars there are, the more changes go into one.
-constexpr Micros kWakePerSidecar = 750;
-constexpr Micros kWakeLeast = 5'000;
-constexpr Micros kWakeMost = 100'000;
-// From this time between wakes on, a pull that comes between two of them waits for the second also when there
-// is news of servers. Below it the wait for the next tick would take longer than what it spares.
-constexpr Micros kHoldFrom = 50'000;
-// A document of hundreds of kB costs its sender and its reader milliseconds: of changes that follow each
-// other a sidecar is sent the last within so long.
-constexpr Micros kDocumentEvery = 250'000;
-// Others are told of what this process has heard within so long.
+// The instances are completely known when every live one has had so many intervals for its heartbeat.
+constexpr int kHeartbeatsUntilComplete = 2;
+// Exchange replies list the servers and sidecars that this process has seen within so long.
 constexpr Micros kLastSeenWindow = 600'000;
-// Replicas of a shard that are wanted at least.
-constexpr int kLeastReplicas = 3;
-// Without contact with a quorum for so long, calls that need one are refused at once: an election, which
-// takes less, is waited for.
-constexpr Micros kElection = 1'500'000;
+// The least replication factor of a shard.
+constexpr int kMinReplicas = 3;
+// Without contact with a quorum for longer, calls that need one are rejected at once. An election takes less,
+// and calls wait for its end.
+constexpr Micros kElectionGrace = 1'500'000;
 
 // The first disks have names that all can tell from the seeds.
 consensus::Members Founders(const NodeSettings& settings, const std::string& disk) {
@@ -48,19 +40,20 @@
       incarnation_(std::move(incarnation)),
       outputs_(std::move(outputs)),
       now_(now),
-      table_(incarnation_, kMissedHeartbeats * settings.heartbeat_ms * 1000),
-      placer_(settings.lease_ms * 1000, {outputs_.order, outputs_.ask_report}),
+      table_(incarnation_, kMissedHeartbeats * settings.heartbeat_ms * kMicrosPerMs),
+      placer_(settings.lease_ms * kMicrosPerMs, {outputs_.order, outputs_.ask_report}),
       gossip_({settings.node_name, settings.zone, settings.InternalAddress(), settings.control_plane},
-              PeerOutputs()),
+              GossipOutputs()),
       shards_(stored, Founders(settings, stored.disk), incarnation_, ShardOutputs(), now),
       member_policy_(consensus::MakeMemberPolicy(
-          static_cast<std::size_t>(std::max(kLeastReplicas, 2 * settings.tolerated_nodes + 1)),
-          settings.catch_up_ms * 1000)),
-      quorum_contact_lost_at_(now) {
+          static_cast<std::size_t>(std::max(kMinReplicas, 2 * settings.tolerated_nodes + 1)),
+          settings.catch_up_ms * kMicrosPerMs)),
+      quorum_contact_(now),
+      watches_(incarnation_, {shards_.configuration(), table_, sidecars_, gossip_}) {
   SetSeeds(settings.seeds, now);
 }
 
-Gossip::Outputs ControlCore::PeerOutputs() {
+Gossip::Outputs ControlCore::GossipOutputs() {
   Gossip::Outputs outputs;
   outputs.fill_request = [this](ExchangeRequest& request, const VersionVector* peer_versions) {
     request.incarnation = incarnation_;
@@ -83,8 +76,8 @@
   };
   outputs.write = outputs_.write;
   outputs.applied = [this](int shard) {
-    pulls_due_ = true;
-    if (shard == 0) AnswerWatches(/*at_once=*/true);
+    watches_.OnUpdate();
+    if (shard == kConfigurationShard) AnswerWatches(WatchRegistry::Urgency::kImmediate);
   };
   outputs.left = [this](const std::string& id, Phase phase) { table_.ApplyDeregistration(id, phase, now_); };
   return outputs;
@@ -98,14 +91,13 @@
   gossip_.SetSeeds(nodes);
 }
 
-bool ControlCore::Isolated() const {
-  return !HasQuorumContact() && quorum_contact_lost_at_ > 0 && now_ - quorum_contact_lost_at_ > kElection;
+bool ControlCore::IsIsolated() const {
+  return !HasQuorumContact() && quorum_contact_.HasBeenLost(kElectionGrace, now_);
 }
 
 void ControlCore::Stop() {
   stopping_ = true;
-  for (const PendingWatch& pull : pending_watches_) pull.done(std::nullopt);
-  pending_watches_.clear();
+  watches_.Cancel();
   gossip_.AnnounceShutdown(now_);
 }
 
@@ -113,21 +105,17 @@
   now_ = now;
   shards_.Tick(now);
   const bool has_quorum_contact = HasQuorumContact();
-  if (!has_quorum_contact) quorum_contact_since_ = 0;
-  if (has_quorum_contact && quorum_contact_since_ == 0) quorum_contact_since_ = now;
-  if (has_quorum_contact) quorum_contact_lost_at_ = 0;
-  if (!has_quorum_contact && quorum_contact_lost_at_ == 0) quorum_contact_lost_at_ = now;
+  quorum_contact_.Update(has_quorum_contact, now);
   table_.Expire(now, has_quorum_contact);
-  std::erase_if(document_sent_at_, [&](const auto& one) { return now - one.second >= kDocumentEvery; });
-  wake_every_ = std::clamp(sidecars_.Count(now) * kWakePerSidecar, kWakeLeast, kWakeMost);
+  watches_.Tick(now);
   gossip_.SetMembers(shards_.ReviewMembers(member_policy_, now));
-  TickPlacer();
+  PlanPlacements();
   gossip_.Tick(now);
-  AnswerWatches(/*at_once=*/false);
+  AnswerWatches(WatchRegistry::Urgency::kRateLimited);
   Flush();
 }
 
-void ControlCore::Written(std::uint64_t token, Micros now) {
+void ControlCore::OnWriteDurable(std::uint64_t token, Micros now) {
   now_ = now;
   shards_.Written(token);
   Flush();
@@ -135,42 +123,44 @@
 
 // ---- Servers and the operator ----
 
-void ControlCore::Heartbeat(Instance instance, bool draining, Micros now, const OnTaken& done) {
+void ControlCore::Heartbeat(Instance instance, bool draining, Micros now, const AcceptanceCallback& done) {
   now_ = now;
-  if (!HasQuorumContact()) return done(Taken::kUnavailable);
+  if (!HasQuorumContact()) return done(Acceptance::kUnavailable);
   const std::string id = instance.id;
   const std::string service = instance.backend;
   const std::optional<Phase> deregistered = shards_.Deregistered(id);
   instance.phase = deregistered.value_or(Phase::kReady);
-  if (deregistered != Phase::kDeregistered && table_.Heartbeat(std::move(instance), now)) pulls_due_ = true;
-  if (draining && !deregistered) return Leave(service, id, Phase::kDraining, done);
-  done(Taken::kTaken);
+  if (deregistered != Phase::kDeregistered && table_.Heartbeat(std::move(instance), now)) watches_.OnUpdate();
+  if (draining && !deregistered) return SubmitDeregistration(service, id, Phase::kDraining, done);
+  done(Acceptance::kAccepted);
 }
 
-void ControlCore::Deregister(const std::string& id, Micros now, const OnTaken& done) {
+void ControlCore::Deregister(const std::string& id, Micros now, const AcceptanceCallback& done) {
   now_ = now;
-  if (shards_.Deregistered(id) == Phase::kDeregistered) return done(Taken::kTaken);
+  if (shards_.Deregistered(id) == Phase::kDeregistered) return done(Acceptance::kAccepted);
   const InstanceTable::Record* record = table_.Find(id);
-  Leave(record == nullptr ? std::string() : record->instance.backend, id, Phase::kDeregistered, done);
+  SubmitDeregistration(record == nullptr ? std::string() : record->instance.backend, id, Phase::kDeregistered,
+                       done);
 }
 
-void ControlCore::Leave(const std::string& service, const std::string& id, Phase phase, const OnTaken& done) {
-  if (Isolated()) return done(Taken::kUnavailable);
+void ControlCore::SubmitDeregistration(const std::string& service, const std::string& id, Phase phase,
+                                       const AcceptanceCallback& done) {
+  if (IsIsolated()) return done(Acceptance::kUnavailable);
   shards_.Leave(service, id, phase, now_,
-                [done](bool taken) { done(taken ? Taken::kTaken : Taken::kUnavailable); });
+                [done](bool taken) { done(taken ? Acceptance::kAccepted : Acceptance::kUnavailable); });
   Flush();
 }
 
-void ControlCore::Change(const configuration::Change& change, Micros now, const OnChanged& done) {
+void ControlCore::Change(const configuration::Change& change, Micros now, const ChangeCallback& done) {
   now_ = now;
-  if (Isolated()) return done(std::nullopt);
+  if (IsIsolated()) return done(std::nullopt);
   shards_.Change(change, now, done);
   Flush();
 }
 
-void ControlCore::ReadConfiguration(Micros now, const OnRead& done) {
+void ControlCore::ReadConfiguration(Micros now, const ReadCallback& done) {
   now_ = now;
-  if (Isolated()) return done(std::nullopt);
+  if (IsIsolated()) return done(std::nullopt);
   shards_.Read(now, [this, done](bool current) {
     if (!current) return done(std::nullopt);
     done(ConfigurationRead{configuration().version(), configuration().document()});
@@ -184,8 +174,8 @@
   now_ = now;
   gossip_.OnPeerSeen(request.sender, now);
   gossip_.OnPeerVersions(request.sender.address, request.incarnation, request.version_vector);
-  // What an earlier incarnation of this process knew is not known here: its vector would hide the difference
-  // for good.
+  // Changes relative to the version vector of an earlier incarnation of this process leave out what only that
+  // one knew. Merging them would advance this table's vector past the gap for good.
   if (request.receiver_incarnation.empty() || request.receiver_incarnation == incarnation_)
     MergeInstances(request.changed_instances);
   shards_.Meet(request.disk, request.sender.address);
@@ -194,7 +184,7 @@
     shards_.Join(shard, {request.disk, request.sender.address}, now);
   for (const ShardMessage& message : request.messages) shards_.Step(message, now);
   for (const ShardProposal& proposal : request.proposals) shards_.TakeForwarded(proposal);
-  CountDemand(request.demand);
+  RouteDemand(request.demand);
   ExchangeReply reply;
   reply.incarnation = incarnation_;
   reply.changed_instances = table_.ChangedSince(request.version_vector);
@@ -204,7 +194,7 @@
     reply.last_seen_sidecars = sidecars_.LastSeenSince(now - kLastSeenWindow, now);
     reply.control_nodes = gossip_.LiveNodes(now);
   }
-  TellNews();
+  PublishInstanceChanges();
   Flush();
   return reply;
 }
@@ -215,13 +205,13 @@
   gossip_.OnExchangeEnded(address, reply.has_value(), now);
   if (reply) {
     gossip_.OnPeerVersions(address, reply->incarnation, reply->version_vector);
-    Take(*reply);
-    TellNews();
+    MergeReply(*reply);
+    PublishInstanceChanges();
   }
   Flush();
 }
 
-// Another process may not have applied a departure yet that stands in the log here.
+// Another process may not have applied a deregistration yet that is in the log here.
 void ControlCore::MergeInstances(const std::vector<Instance>& changed) {
   table_.MergeChanges(changed, now_);
   for (const Instance& instance : changed)
@@ -229,7 +219,7 @@
       table_.ApplyDeregistration(instance.id, *phase, now_);
 }
 
-void ControlCore::Take(const ExchangeReply& reply) {
+void ControlCore::MergeReply(const ExchangeReply& reply) {
   MergeInstances(reply.changed_instances);
   for (const LastSeen& seen : reply.last_seen_instances) table_.MergeLastSeen(seen, now_);
   for (const SidecarLastSeen& sidecar : reply.last_seen_sidecars) sidecars_.MergeLastSeen(sidecar, now_);
@@ -238,140 +228,79 @@
 
 // ---- Sidecars ----
 
-void ControlCore::Watch(WatchRequest request, Micros now, const OnWatched& done) {
+void ControlCore::Watch(WatchRequest request, Micros now, const WatchRegistry::Callback& done) {
   now_ = now;
   sidecars_.OnWatch(request.node, request.load_report_address, now);
-  CountDemand(request.demand);
-  const bool hold = wake_every_ >= kHoldFrom && now - woken_at_ < wake_every_;
-  if (!AnswerWatch(request, done, hold ? WatchAnswer::kUnlessServersAlone : WatchAnswer::kWithNews)) {
-    const Micros until = now + std::clamp(request.wait_ms, 0, kMostPullWaitMs) * Micros{1000};
-    pending_watches_.push_back({std::move(request), until, done});
-  }
+  RouteDemand(request.demand);
+  watches_.Add(std::move(request), done, WatchReadiness(), now);
   Flush();
 }
 
-bool ControlCore::AnswerWatch(const WatchRequest& request, const OnWatched& done, WatchAnswer when) {
-  if (!HasQuorumContact()) {
-    done(std::nullopt);
-    return true;
-  }
-  // A list is whole once every server that lives has had the time to say so.
-  const bool settled =
-      quorum_contact_since_ > 0 && now_ - quorum_contact_since_ > 2 * settings_.heartbeat_ms * 1000;
-  const bool whole = settled && request.incarnation != incarnation_;
-  const bool behind = configuration().version() > request.configuration_version;
-  const bool newer = behind && DocumentDue(request.node, when == WatchAnswer::kAlways);
-  document_held_ = document_held_ || (behind && !newer);
-  if (when != WatchAnswer::kAlways && !whole && !newer) {
-    const bool missing = table_.HasUpdatesFor(request.version_vector);
-    const bool held = missing && when == WatchAnswer::kUnlessServersAlone;
-    pulls_due_ = pulls_due_ || held;
-    if (!missing || held) return false;
-  }
-  WatchReply reply;
-  reply.incarnation = whole || request.incarnation == incarnation_ ? incarnation_ : std::string();
-  reply.complete = whole;
-  reply.configuration_version = configuration().version();
-  if (newer) FillConfiguration(request, reply);
-  // Another process's list is in the caller's hands until then: what it has heard says nothing of what it
-  // holds.
-  reply.changed_instances = table_.ChangedSince(whole ? VersionVector() : request.version_vector);
-  reply.version_vector = table_.version_vector();
-  reply.control_nodes = gossip_.LiveNodes(now_);
-  const SidecarRegistry::WindowPosition position = sidecars_.WindowPositionOf(request.node, now_);
-  reply.window_position = position.index;
-  reply.sidecar_count = position.count;
-  reply.neighbors = sidecars_.NeighborsOf(request.node, now_);
-  if (reply.neighbors.hash == request.neighbors_hash) reply.neighbors.addresses.clear();
-  done(reply);
-  return true;
-}
-
-void ControlCore::FillConfiguration(const WatchRequest& request, WatchReply& reply) {
-  document_sent_at_[request.node] = now_;
-  std::optional<std::vector<std::string>> patches;
-  if (request.accepts_patches) patches = configuration().PatchesSince(request.configuration_version);
-  if (patches)
-    reply.configuration_patches = std::move(*patches);
-  else
-    reply.configuration_document = configuration().document();
+WatchRegistry::Readiness ControlCore::WatchReadiness() const {
+  const Micros heartbeats_received = kHeartbeatsUntilComplete * settings_.heartbeat_ms * kMicrosPerMs;
+  return {HasQuorumContact(), quorum_contact_.HasLasted(heartbeats_received, now_)};
 }
 
-bool ControlCore::DocumentDue(const std::string& sidecar, bool at_once) const {
-  const auto sent = document_sent_at_.find(sidecar);
-  return at_once || sent == document_sent_at_.end() || now_ - sent->second >= kDocumentEvery;
-}
-
-void ControlCore::AnswerWatches(bool at_once) {
-  const bool due = (pulls_due_ || document_held_) && (at_once || now_ - woken_at_ >= wake_every_);
-  if (due) {
-    pulls_due_ = document_held_ = false;
-    woken_at_ = now_;
-  }
-  const bool has_quorum_contact = HasQuorumContact();
-  for (auto it = pending_watches_.begin(); it != pending_watches_.end();) {
-    const bool over = now_ >= it->until || !has_quorum_contact;
-    const WatchAnswer when = over ? WatchAnswer::kAlways : WatchAnswer::kWithNews;
-    it = (over || due) && AnswerWatch(it->request, it->done, when) ? pending_watches_.erase(it)
-                                                                   : std::next(it);
-  }
+void ControlCore::AnswerWatches(WatchRegistry::Urgency urgency) {
+  watches_.AnswerPending(urgency, WatchReadiness(), now_);
 }
 
 // ---- Placement ----
 
-void ControlCore::Demand(const std::vector<ModelDemand>& demand, Micros now) {
+void ControlCore::OnDemand(const std::vector<ModelDemand>& demand, Micros now) {
   now_ = now;
-  CountDemand(demand);
+  RouteDemand(demand);
   Flush();
 }
 
-// The placer counts it; every other process passes it on. A plan costs more than a report, and hundreds of
-// these come each second: what a request waits for is planned at once, the rest with the next tick.
-void ControlCore::CountDemand(const std::vector<ModelDemand>& demand) {
+// The leader records demand, every other process forwards it. Reports come hundreds of times a second and a
+// plan costs more than a report: only models that requests wait for are planned at once, the others with the
+// next tick.
+void ControlCore::RouteDemand(const std::vector<ModelDemand>& demand) {
   if (demand.empty()) return;
   if (shards_.configuration_replica().leader()) {
     placer_.CountDemand(demand, now_);
-    const auto waits = [](const ModelDemand& one) { return one.waiting > 0; };
-    if (std::any_of(demand.begin(), demand.end(), waits)) TickPlacer();
+    const auto has_waiting_requests = [](const ModelDemand& model) { return model.waiting > 0; };
+    if (std::any_of(demand.begin(), demand.end(), has_waiting_requests)) PlanPlacements();
     return;
   }
   const std::string leader = shards_.ConfigurationLeader();
   if (!leader.empty()) gossip_.SendDemand(leader, demand);
 }
 
-void ControlCore::TickPlacer() {
+void ControlCore::PlanPlacements() {
   if (stopping_) return;
   placer_.Tick(shards_.configuration_replica(), configuration(), table_, now_);
-  TellNews();
+  PublishInstanceChanges();
 }
 
-// What has changed in the table goes to the sidecars that wait here, and what was changed here to the other
-// control processes as well: they tell it to theirs.
-void ControlCore::TellNews() {
-  if (!table_.HasUpdatesFor(told_)) return;
-  told_ = table_.version_vector();
-  pulls_due_ = true;
-  AnswerWatches(/*at_once=*/false);
-  if (told_[incarnation_] <= spread_) return;
-  spread_ = told_[incarnation_];
+// Changes of the table go to the sidecars that watch here. Changes of this process also go to the other
+// control processes, for the sidecars that watch there.
+void ControlCore::PublishInstanceChanges() {
+  if (!table_.HasUpdatesFor(notified_versions_)) return;
+  notified_versions_ = table_.version_vector();
+  watches_.OnUpdate();
+  AnswerWatches(WatchRegistry::Urgency::kRateLimited);
+  if (notified_versions_[incarnation_] <= broadcast_counter_) return;
+  broadcast_counter_ = notified_versions_[incarnation_];
   gossip_.ScheduleBroadcast(now_);
 }
 
-void ControlCore::OrdersDue(Micros now) {
+void ControlCore::OnOrdersDue(Micros now) {
   now_ = now;
-  TickPlacer();
+  PlanPlacements();
   Flush();
 }
 
-void ControlCore::OrderAnswered(const PlacementCall& order, int status, Micros now) {
+void ControlCore::OnOrderResponse(const PlacementCall& order, int status, Micros now) {
   now_ = now;
   placer_.OnOrderAnswered(order, status, now);
-  TickPlacer();
+  PlanPlacements();
   Flush();
 }
 
-void ControlCore::Reported(const std::string& instance, const std::optional<ServerReport>& report,
-                           Micros now) {
+void ControlCore::OnServerReport(const std::string& instance, const std::optional<ServerReport>& report,
+                                 Micros now) {
   now_ = now;
   placer_.OnReport(instance, report, now);
   Flush();
--- a/src/control/control_service.cpp
+++ b/src/control/control_service.cpp
@@ -1,11 +1,8 @@
 #include "control/control_service.hpp"
 
-#include <fcntl.h>
 #include <spdlog/spdlog.h>
-#include <unistd.h>
 
 #include <algorithm>
-#include <cerrno>
 #include <chrono>
 #include <cstdio>
 #include <nlohmann/json.hpp>
@@ -21,23 +18,24 @@
 
 using nlohmann::json;
 
-constexpr auto kTickEvery = timeval{0, 50'000};
-constexpr std::chrono::milliseconds kStopAfter{300};
-// Without progress for so long a call has failed: its peer may stand still, or the way to it be cut.
-constexpr std::chrono::milliseconds kExchangeSilence{500};
-constexpr std::chrono::milliseconds kOrderSilence{800};
-constexpr std::chrono::seconds kCloseUnused{30};
-constexpr const char* kExpectedInstance = "X-Violetwing-Expected-Instance";
+constexpr auto kTickInterval = timeval{0, 50'000};
+// For responses that are still being sent when the process stops.
+constexpr std::chrono::milliseconds kShutdownGrace{300};
+// A call without progress for so long has failed: its peer may be suspended or partitioned away.
+constexpr std::chrono::milliseconds kExchangeTimeout{500};
+constexpr std::chrono::milliseconds kOrderTimeout{800};
+constexpr std::chrono::seconds kIdleConnectionTimeout{30};
+constexpr const char* kExpectedInstanceHeader = "X-Violetwing-Expected-Instance";
 
-std::string RandomName() {
+std::string RandomId() {
   std::random_device device;
   char out[33];
   std::snprintf(out, sizeof out, "%08x%08x%08x%08x", device(), device(), device(), device());
   return out;
 }
 
-// What a server's report says; empty if it says nothing that can be used.
-std::optional<ServerReport> ReadReport(const std::string& instance, int status, const std::string& body) {
+// Empty if the response is no report, or if a field is missing.
+std::optional<ServerReport> ParseReport(const std::string& instance, int status, const std::string& body) {
   const json in = json::parse(body, nullptr, /*allow_exceptions=*/false);
   if (status != 200 || !in.is_object()) return std::nullopt;
   try {
@@ -49,8 +47,8 @@
   }
 }
 
-// The answer to an exchange; empty if it is not one of ours, or of another version.
-std::optional<ExchangeReply> ReadReply(int status, const std::string& body) {
+// Empty if the response is no reply to an exchange.
+std::optional<ExchangeReply> DecodeReply(int status, const std::string& body) {
   if (status != 200) return std::nullopt;
   return Decode<ExchangeReply>(body);
 }
@@ -60,7 +58,7 @@
 ControlService::ControlService(event_base* base, NodeSettings settings)
     : base_(base),
       settings_(std::move(settings)),
-      incarnation_(settings_.node_name + "/" + RandomName().substr(0, 8)),
+      incarnation_(settings_.node_name + "/" + RandomId().substr(0, 8)),
       public_api_(base,
                   [this](const http::Request& request, const http::Answer& answer) {
                     HandlePublic(*core_, request, SteadyMicros(), answer);
@@ -71,30 +69,20 @@
                     }),
       client_(base) {}
 
-ControlService::~ControlService() {
-  if (tick_ != nullptr) event_free(tick_);
-  if (orders_due_ != nullptr) event_free(orders_due_);
-  if (written_event_ != nullptr) event_free(written_event_);
-}
-
 std::error_code ControlService::Start(std::string& problem) {
   if (const std::error_code error = OpenDisk(problem)) return error;
   core_ = std::make_unique<ControlCore>(
       settings_, incarnation_, Shards::Stored{store_.disk(), store_.stored()}, CoreOutputs(), SteadyMicros());
   if (const std::error_code error = Listen(problem)) return error;
-  if (const std::error_code error = WatchDisk(problem)) return error;
-  tick_ = event_new(
+  if (const std::error_code error = StartStore(problem)) return error;
+  tick_event_.reset(event_new(
       base_, -1, EV_PERSIST,
-      [](evutil_socket_t, short, void* service) { static_cast<ControlService*>(service)->Tick(); }, this);
-  event_add(tick_, &kTickEvery);
-  orders_due_ = event_new(
+      [](evutil_socket_t, short, void* service) { static_cast<ControlService*>(service)->Tick(); }, this));
+  event_add(tick_event_.get(), &kTickInterval);
+  orders_event_.reset(event_new(
       base_, -1, 0,
-      [](evutil_socket_t, short, void* at) {
-        auto* service = static_cast<ControlService*>(at);
-        service->core_->OrdersDue(SteadyMicros());
-        service->AwaitOrders();
-      },
-      this);
+      [](evutil_socket_t, short, void* service) { static_cast<ControlService*>(service)->OnOrdersDue(); },
+      this));
   spdlog::info("control process {} of disk {} takes calls at {}", settings_.node_name, store_.disk(),
                settings_.control_plane);
   return {};
@@ -104,7 +92,7 @@
   const std::vector<std::string>& seeds = settings_.seeds;
   const bool founder =
       settings_.bootstrap && std::find(seeds.begin(), seeds.end(), settings_.control_plane) != seeds.end();
-  const std::string disk = founder ? FounderDisk(settings_.InternalAddress()) : "disk/" + RandomName();
+  const std::string disk = founder ? FounderDisk(settings_.InternalAddress()) : "disk/" + RandomId();
   return store_.Open(settings_.data_dir, disk, problem);
 }
 
@@ -118,21 +106,17 @@
   return listen(internal_api_, settings_.InternalAddress());
 }
 
-// The disk's thread wakes the loop through a pipe.
-std::error_code ControlService::WatchDisk(std::string& problem) {
-  if (pipe2(written_pipe_, O_CLOEXEC | O_NONBLOCK) != 0) {
+std::error_code ControlService::StartStore(std::string& problem) {
+  if (const std::error_code error = writes_pipe_.Open()) {
     problem = "cannot open a pipe";
-    return std::error_code(errno, std::generic_category());
+    return error;
   }
-  written_event_ = event_new(
-      base_, written_pipe_[0], EV_READ | EV_PERSIST,
-      [](evutil_socket_t, short, void* service) { static_cast<ControlService*>(service)->OnWritten(); },
-      this);
-  event_add(written_event_, nullptr);
-  store_.Start([fd = written_pipe_[1]] {
-    const char byte = 1;
-    [[maybe_unused]] const ssize_t told = write(fd, &byte, 1);  // a full pipe tells as well
-  });
+  writes_event_.reset(event_new(
+      base_, writes_pipe_.read_fd(), EV_READ | EV_PERSIST,
+      [](evutil_socket_t, short, void* service) { static_cast<ControlService*>(service)->OnWritesDurable(); },
+      this));
+  event_add(writes_event_.get(), nullptr);
+  store_.Start([this] { writes_pipe_.Notify(); });
   return {};
 }
 
@@ -140,10 +124,10 @@
   ControlCore::Outputs outputs;
   outputs.write = [this](ShardWrite write, std::uint64_t token) { store_.Enqueue(std::move(write), token); };
   outputs.exchange = [this](const std::string& address, const ExchangeRequest& request) {
-    Exchange(address, request);
+    BeginExchange(address, request);
   };
   outputs.order = [this](const PlacementCall& order, consensus::Term token) { SendOrder(order, token); };
-  outputs.ask_report = [this](const PlacementCall& call) { AskReport(call); };
+  outputs.ask_report = [this](const PlacementCall& call) { RequestReport(call); };
   return outputs;
 }
 
@@ -154,39 +138,42 @@
   public_api_.StopListening();
   internal_api_.StopListening();
   core_->Stop();
-  const auto after = timeval{0, std::chrono::microseconds(kStopAfter).count()};
+  const auto after = timeval{0, std::chrono::microseconds(kShutdownGrace).count()};
   event_base_loopexit(base_, &after);
 }
 
 void ControlService::Tick() {
   core_->Tick(SteadyMicros());
-  client_.CloseIdle(kCloseUnused);
-  AwaitOrders();
+  client_.CloseIdle(kIdleConnectionTimeout);
+  ScheduleOrders();
 }
 
-void ControlService::AwaitOrders() {
+void ControlService::ScheduleOrders() {
   const auto due = core_->NextOrderAt();
   if (!due) return;
   const std::int64_t wait = std::max<std::int64_t>(*due - SteadyMicros(), 0);
-  if (wait >= kTickEvery.tv_usec) return;
+  if (wait >= kTickInterval.tv_usec) return;
   const timeval after{0, static_cast<suseconds_t>(wait)};
-  event_add(orders_due_, &after);
+  event_add(orders_event_.get(), &after);
 }
 
-void ControlService::OnWritten() {
-  char bytes[64];
-  while (read(written_pipe_[0], bytes, sizeof bytes) > 0) {
-  }
-  for (const std::uint64_t token : store_.TakeWritten()) core_->Written(token, SteadyMicros());
+void ControlService::OnOrdersDue() {
+  core_->OnOrdersDue(SteadyMicros());
+  ScheduleOrders();
+}
+
+void ControlService::OnWritesDurable() {
+  writes_pipe_.Drain();
+  for (const std::uint64_t token : store_.TakeWritten()) core_->OnWriteDurable(token, SteadyMicros());
 }
 
 // ---- Calls of the core ----
 
-void ControlService::Exchange(const std::string& address, const ExchangeRequest& request) {
+void ControlService::BeginExchange(const std::string& address, const ExchangeRequest& request) {
   const auto done = [this, address](int status, const std::string& body) {
-    core_->OnExchangeReply(address, ReadReply(status, body), SteadyMicros());
+    core_->OnExchangeReply(address, DecodeReply(status, body), SteadyMicros());
   };
-  client_.Call(address, "POST", kExchangePath, Encode(request), kExchangeSilence, done, {},
+  client_.Call(address, "POST", kExchangePath, Encode(request), kExchangeTimeout, done, {},
                http::BodyType::kBinary);
 }
 
@@ -198,22 +185,22 @@
             {"fencing_token", fencing_token}};
   if (!order.adapter.empty()) body["adapter"] = order.adapter;
   if (order.if_revision) body["if_revision"] = *order.if_revision;
-  client_.Call(order.address, "POST", "/api/order", body.dump(), kOrderSilence,
+  client_.Call(order.address, "POST", "/api/order", body.dump(), kOrderTimeout,
                [this, order, load](int status, const std::string&) {
                  spdlog::debug("order to {}: {} {}/{}: {}", order.instance, load ? "load" : "unload",
                                order.model, order.adapter, status);
-                 core_->OrderAnswered(order, status, SteadyMicros());
-                 AwaitOrders();
+                 core_->OnOrderResponse(order, status, SteadyMicros());
+                 ScheduleOrders();
                },
-               {{kExpectedInstance, order.instance}});
+               {{kExpectedInstanceHeader, order.instance}});
 }
 
-void ControlService::AskReport(const PlacementCall& call) {
-  client_.Call(call.address, "GET", "/api/report", {}, kOrderSilence,
+void ControlService::RequestReport(const PlacementCall& call) {
+  client_.Call(call.address, "GET", "/api/report", {}, kOrderTimeout,
                [this, instance = call.instance](int status, const std::string& body) {
-                 core_->Reported(instance, ReadReport(instance, status, body), SteadyMicros());
+                 core_->OnServerReport(instance, ParseReport(instance, status, body), SteadyMicros());
                },
-               {{kExpectedInstance, call.instance}});
+               {{kExpectedInstanceHeader, call.instance}});
 }
 
 }  // namespace violetwing
--- a/src/control/control_service.hpp
+++ b/src/control/control_service.hpp
@@ -1,5 +1,6 @@
-// A control process: carries the calls of servers, the operator, the sidecars and the other control processes
-// to the core, and what the core decides to the network and the disk. One loop; the disk has a thread.
+// The network and disk side of a control process: carries the calls of servers, the operator, the sidecars
+// and the other control processes to the core, and the core's decisions to the network and the disk. One
+// event loop; the store has a thread of its own.
 #ifndef VIOLETWING_CONTROL_CONTROL_SERVICE_HPP_
 #define VIOLETWING_CONTROL_CONTROL_SERVICE_HPP_
 
@@ -13,49 +14,59 @@
 #include "control/api/http.hpp"
 #include "control/control_core.hpp"
 #include "control/storage/store.hpp"
+#include "control/wake_pipe.hpp"
 
 namespace violetwing {
 
+/// All calls on the thread of the event loop.
 class ControlService {
  public:
+  /// `base` has to outlive the service.
   ControlService(event_base* base, NodeSettings settings);
-  ~ControlService();
+  ~ControlService() = default;
   ControlService(const ControlService&) = delete;
   ControlService& operator=(const ControlService&) = delete;
 
-  // Opens the disk and listens. A reason in `problem` if it cannot.
+  /// Opens the store and listens. On an error `problem` says what has failed; the service is then not usable.
   std::error_code Start(std::string& problem);
-  // The settings file has changed.
+  /// Takes the seeds of a changed settings file; other settings need a restart.
   void Reload(const NodeSettings& settings);
-  // Answers what is open and leaves the loop.
+  /// Answers pending calls and ends the event loop after a grace period.
   void Stop();
 
  private:
+  struct EventDeleter {
+    void operator()(event* owned) const { event_free(owned); }
+  };
+  using EventPtr = std::unique_ptr<event, EventDeleter>;
+
   std::error_code OpenDisk(std::string& problem);
   std::error_code Listen(std::string& problem);
-  std::error_code WatchDisk(std::string& problem);
+  // Starts the store's thread, which reports durable writes through the pipe.
+  std::error_code StartStore(std::string& problem);
   ControlCore::Outputs CoreOutputs();
 
   void Tick();
-  // Orders that are due before the next tick go out on time: servers wait for them, and requests for servers.
-  void AwaitOrders();
-  void OnWritten();
-  void Exchange(const std::string& address, const ExchangeRequest& request);
+  // Orders that are due before the next tick are sent on time: requests wait for the models that they load.
+  void ScheduleOrders();
+  void OnOrdersDue();
+  void OnWritesDurable();
+  void BeginExchange(const std::string& address, const ExchangeRequest& request);
   void SendOrder(const PlacementCall& order, consensus::Term fencing_token);
-  void AskReport(const PlacementCall& call);
+  void RequestReport(const PlacementCall& call);
 
   event_base* const base_;
   const NodeSettings settings_;
-  const std::string incarnation_;  // one incarnation of this process
+  const std::string incarnation_;  // of this process, with a random part
+  WakePipe writes_pipe_;           // outlives the store's thread, which writes to it
   Store store_;
   http::Server public_api_;
   http::Server internal_api_;
   http::Client client_;
   std::unique_ptr<ControlCore> core_;  // once the disk has been read
-  event* tick_ = nullptr;
-  event* orders_due_ = nullptr;
-  event* written_event_ = nullptr;
-  int written_pipe_[2] = {-1, -1};
+  EventPtr tick_event_;
+  EventPtr orders_event_;
+  EventPtr writes_event_;  // reads `writes_pipe_`
   bool stopping_ = false;
 };
 
--- a/tests/control/digest_test.cpp
+++ b/tests/control/digest_test.cpp
@@ -149,7 +149,7 @@
       const Server& server = servers_[call.instance];
       system_.After(5'000, [this, control, id = call.instance,
                             report = ServerReport{false, server.revision, server.models}] {
-        if (system_.Up(control)) system_.control(control).core->Reported(id, report, system_.now());
+        if (system_.Up(control)) system_.control(control).core->OnServerReport(id, report, system_.now());
       });
     };
     if (fault_ > Fault::kDamage) return;
@@ -157,7 +157,7 @@
       if (fault_ == Fault::kNone || random_.Below(12) != 0) return;
       if (fault_ == Fault::kLoss) message.copies = 0;
       if (fault_ == Fault::kDuplication) message.copies = 2;
-      if (fault_ == Fault::kDelay) message.held_up = static_cast<std::int64_t>(random_.Below(900'000));
+      if (fault_ == Fault::kDelay) message.extra_delay = static_cast<std::int64_t>(random_.Below(900'000));
       if (fault_ == Fault::kDamage) message.body.resize(random_.Below(message.body.size() + 1));
     };
   }
@@ -168,7 +168,7 @@
     std::erase_if(server.models, [&](const HeldModel& held) { return held.name == call.model; });
     if (call.kind == PlacementCall::Kind::kLoad) server.models.push_back({call.model, 1, {}});
     system_.After(30'000, [this, control, call] {
-      if (system_.Up(control)) system_.control(control).core->OrderAnswered(call, 200, system_.now());
+      if (system_.Up(control)) system_.control(control).core->OnOrderResponse(call, 200, system_.now());
     });
   }
 
@@ -212,7 +212,7 @@
     const std::string model = "m" + std::to_string(random_.Below(kModels));
     const ModelDemand demand{"s", model, 1.0 + static_cast<double>(random_.Below(5)), 400.0,
                              static_cast<int>(random_.Below(3))};
-    system_.control(control).core->Demand({demand}, system_.now());
+    system_.control(control).core->OnDemand({demand}, system_.now());
   }
 
   void Disturb() {
--- a/tests/control/linearizability_test.cpp
+++ b/tests/control/linearizability_test.cpp
@@ -30,9 +30,9 @@
   // To be called at each turn of the system.
   void Turn() {
     if (calling_ || stopped_) return;
-    if (tries_ > 0) return Send();
+    if (attempts_ > 0) return Send();
     reads_ = !reads_;
-    tries_ = 0;
+    attempts_ = 0;
     operation_ = history_.size();
     Operation operation;
     operation.kind = reads_ ? kRead : kChange;
@@ -46,11 +46,11 @@
 
  private:
   static constexpr std::int64_t kVersionStep = 10;  // above the number of operators: versions tell them apart
-  static constexpr int kMostTries = 12;
+  static constexpr int kMaxAttempts = 12;
 
   void Send() {
     calling_ = true;
-    ++tries_;
+    ++attempts_;
     const Operation& operation = history_[operation_];
     const std::string body =
         reads_ ? std::string()
@@ -65,10 +65,10 @@
     calling_ = false;
     const bool clear = status == 200 || status == 412 || status == 404;
     if (!clear) {
-      if (tries_ >= kMostTries) tries_ = 0;  // given up, as unknown
+      if (attempts_ >= kMaxAttempts) attempts_ = 0;  // given up: the outcome stays unknown
       return;
     }
-    tries_ = 0;
+    attempts_ = 0;
     Operation& operation = history_[operation_];
     operation.answered_at = system_.now();
     if (reads_) {
@@ -87,7 +87,7 @@
   std::size_t next_;
   std::int64_t known_ = 0;
   std::size_t operation_ = 0;
-  int tries_ = 0;
+  int attempts_ = 0;
   bool calling_ = false;
   bool reads_ = true;
   bool stopped_ = false;
@@ -157,7 +157,7 @@
 
 }  // namespace
 
-TEST_CASE("Checker: operations one after the other, and some at the same time") {
+TEST_CASE("LinearizabilityChecker accepts sequential and concurrent operations") {
   CHECK(Holds({}));
   CHECK(Holds({{kChange, 0, 5, 1, 2, Result::kTaken}, {kRead, 0, 5, 3, 4, Result::kRead}}));
   // The read began before the change was answered: it may see either.
@@ -168,7 +168,8 @@
   CHECK(Holds({{kChange, 0, 5, 1}, {kRead, 0, 0, 3, 4, Result::kRead}}));
 }
 
-TEST_CASE("Checker: an old read, two winners, a change lost and a refused one in force are caught") {
+TEST_CASE(
+    "LinearizabilityChecker rejects stale reads, two winners, lost changes and rejected changes in force") {
   CHECK_FALSE(Holds({{kChange, 0, 5, 1, 2, Result::kTaken}, {kRead, 0, 0, 3, 4, Result::kRead}}));
   CHECK_FALSE(Holds({{kChange, 0, 5, 1, 4, Result::kTaken}, {kChange, 0, 6, 1, 4, Result::kTaken}}));
   CHECK_FALSE(Holds({{kChange, 0, 5, 1, 2, Result::kTaken},
@@ -180,7 +181,7 @@
       Holds({{kChange, 0, 5, 1}, {kRead, 0, 5, 3, 4, Result::kRead}, {kRead, 0, 0, 5, 6, Result::kRead}}));
 }
 
-TEST_CASE("Checker: a recorded history with one answer changed is caught") {
+TEST_CASE("LinearizabilityChecker rejects a recorded history with one answer changed") {
   int caught = 0;
   int doctored = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
--- a/tests/control/system_test.cpp
+++ b/tests/control/system_test.cpp
@@ -1,5 +1,5 @@
 // Three control processes and two sidecars on a virtual clock: what is acknowledged reaches all, whichever
-// single message is lost, doubled, late or damaged, and whichever process ends or stands still.
+// single message is lost, duplicated, delayed or damaged, and whichever process ends or is suspended.
 #include <catch2/catch.hpp>
 #include <memory>
 #include <nlohmann/json.hpp>
@@ -183,7 +183,7 @@
 
 }  // namespace
 
-TEST_CASE("Each sidecar is told of the others that are to hear of its load") {
+TEST_CASE("System: each sidecar receives the addresses of its neighbors") {
   Play play;
   play.Configure(3, 0);
   play.Await("the other sidecar's address", [&] {
@@ -192,7 +192,7 @@
   });
 }
 
-TEST_CASE("Cores: a change, servers and a drain reach all sidecars") {
+TEST_CASE("System: a change, heartbeats and a drain reach all sidecars") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
     Play play(seed);
@@ -200,20 +200,21 @@
   }
 }
 
-TEST_CASE("Cores: one message of each kind is lost, doubled or late, and nothing is lost by it") {
+TEST_CASE("System: the loss, duplication or delay of one message of any kind loses no acknowledged state") {
   for (const char* path : kPaths)
     for (const bool answer : {false, true})
       for (const int at : kPlaces) {
         PlayTampered(path, answer, at, [](WireMessage& message) { message.copies = 0; });
         PlayTampered(path, answer, at, [](WireMessage& message) { message.copies = 2; });
-        PlayTampered(path, answer, at, [](WireMessage& message) { message.held_up = 300'000; });
-        PlayTampered(path, answer, at, [](WireMessage& message) { message.held_up = 2 * kSecond; });
+        PlayTampered(path, answer, at, [](WireMessage& message) { message.extra_delay = 300'000; });
+        PlayTampered(path, answer, at, [](WireMessage& message) { message.extra_delay = 2 * kSecond; });
         PlayTampered(path, answer, at,
                      [](WireMessage& message) { message.body.resize(message.body.size() / 2); });
       }
 }
 
-TEST_CASE("Cores: one message of each kind lacks a field or has one of another type") {
+TEST_CASE(
+    "System: a missing field or one of another type in one message of any kind loses no acknowledged state") {
   const wire::ExchangeRequest exchange;
   const wire::ExchangeReply exchanged;
   const wire::PullRequest pull;
@@ -237,7 +238,7 @@
       }
 }
 
-TEST_CASE("Cores: a process ends while it takes a change, and the change is acknowledged exactly once") {
+TEST_CASE("System: a change is acknowledged exactly once when the process that received it ends") {
   for (Micros after = 0; after <= 60'000; after += VirtualSystem::kStep)
     for (const bool power : {false, true}) {
       INFO("ends after " << after << " us" << (power ? ", without power" : ""));
@@ -260,7 +261,7 @@
 }
 
 // Entries after the snapshot are applied again at the start, with no word to the others meanwhile.
-TEST_CASE("Cores: many changes of a large configuration leave little to apply again at the start") {
+TEST_CASE("System: a restart after many large changes replays few log entries") {
   constexpr int kRoutes = 600;
   constexpr std::int64_t kChanges = 30;
   // Eight changes of 68 kB, 107 kB each as entries; the next snapshot may be on its way to the disk.
@@ -280,7 +281,7 @@
   CHECK(play.system.violations().empty());
 }
 
-TEST_CASE("Cores: a change that is lost on its way to the leader is sent there again within the same call") {
+TEST_CASE("System: a forwarded change that is lost is forwarded again within the same call") {
   Play play;
   play.Configure(3, 0);
   bool lost = false;
@@ -291,17 +292,19 @@
     message.copies = 0;
   };
   int status = 0;
-  const Micros silence = std::exchange(play.system.silence, 2 * kSecond);
+  const Micros call_timeout = std::exchange(play.system.call_timeout, 2 * kSecond);
   play.system.CallPublic(play.Follower(), "PUT", "/api/configuration", Document(8, kTimeoutMs, 0), 3,
                          [&](int got, const std::string&) { status = got; });
-  play.system.silence = silence;
+  play.system.call_timeout = call_timeout;
   play.Await("an answer", [&] { return status != 0; });
   CHECK(lost);
   CHECK(status == 200);
 }
 
 // Each process proposed it anew, and the leader wrote and sent it as often.
-TEST_CASE("Cores: a change that is sent to all processes at once is one entry of the log, and all are told") {
+TEST_CASE(
+    "System: a change sent to all processes at once becomes one log entry, and every caller is "
+    "acknowledged") {
   Play play;
   play.Configure(3, 0);
   const auto last = [&] {
@@ -322,8 +325,7 @@
   CHECK(play.system.violations().empty());
 }
 
-TEST_CASE(
-    "Cores: the leader ends while a large change is under way, which is then acknowledged all the same") {
+TEST_CASE("System: a large change in flight is acknowledged although the leader ends") {
   for (Micros after = VirtualSystem::kStep; after <= 60'000; after += VirtualSystem::kStep) {
     INFO("ends after " << after << " us");
     Play play;
@@ -343,7 +345,7 @@
   }
 }
 
-TEST_CASE("Cores: a drain outlives the process that has acknowledged it") {
+TEST_CASE("System: an acknowledged drain outlives the process that acknowledged it") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     INFO("seed " << seed);
     Play play(seed);
@@ -377,7 +379,7 @@
 }
 
 // At many moments between the exchanges that the clock and the replicas begin.
-TEST_CASE("Cores: what one process hears of a server is at the sidecars of all others within 100 ms") {
+TEST_CASE("System: a heartbeat at one process reaches the sidecars of all others within 100 ms") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Play play(seed);
     play.Configure(3, 0);
@@ -420,9 +422,10 @@
 
 }  // namespace
 
-// The other process takes a restarted one for its incarnation before, and leaves out what that one knew. Its
-// vector said then that it knew all of it, and no process ever told it of a drain that it had missed.
-TEST_CASE("Cores: changes that go by the knowledge of an earlier incarnation are not taken") {
+// A peer that takes a restarted process for its earlier incarnation leaves out what that one knew. If the
+// restarted process merged these changes, its version vector would hide the gap, and it would never learn of
+// a drain in it.
+TEST_CASE("System: changes relative to the version vector of an earlier incarnation are ignored") {
   VirtualSystem system(3, 1, 1);
   system.Run(kSecond);
   ControlCore& core = *system.control(0).core;
@@ -434,25 +437,26 @@
   CHECK(core.OnExchangeRequest(request, system.now()).version_vector.at("another") == 5);
 }
 
-TEST_CASE("Cores: an exchange that tells changes names the incarnation by whose knowledge they go") {
+TEST_CASE("System: an exchange with changes names the receiver's incarnation") {
   Play play;
-  int told = 0;
+  int with_changes = 0;
   int unnamed = 0;
   play.system.tamper = [&](WireMessage& message) {
     if (message.path != kExchangePath || message.answer) return;
     const ExchangeRequest request = Decode<ExchangeRequest>(message.body).value();
     if (request.changed_instances.empty()) return;
-    ++told;
+    ++with_changes;
     unnamed += request.receiver_incarnation.empty() ? 1 : 0;
   };
   play.Configure(3, 0);
   play.AwaitServers(2);
-  CHECK(told > 0);
+  CHECK(with_changes > 0);
   CHECK(unnamed == 0);
 }
 
 TEST_CASE(
-    "Cores: an exchange without one of its fields is refused, but for the lives that earlier versions lack") {
+    "System: an exchange without one of its fields is rejected, except the incarnations that earlier "
+    "versions lack") {
   const wire::ExchangeRequest form;
   for (const auto* field : testing::FieldsOf(form)) {
     INFO(field->name());
@@ -462,31 +466,32 @@
   }
 }
 
-// Most exchanges carry heartbeats of the shards: to tell each time whom a process has heard would be most of
-// their bytes.
-TEST_CASE("Cores: who was heard is told some times a second, not with each exchange, and none is missed") {
+// Most exchanges carry heartbeats of the shards: last-seen lists in each would be most of their bytes.
+TEST_CASE(
+    "System: last-seen lists are exchanged several times a second, not with each exchange, and are "
+    "complete") {
   constexpr int kSeconds = 4;
   VirtualSystem system(3, 2, 1);
   system.Run(2 * kSecond);
-  int answers = 0;
-  int telling = 0;
+  int replies = 0;
+  int with_lists = 0;
   system.tamper = [&](WireMessage& message) {
     const auto reply =
         message.path == kExchangePath && message.answer ? Decode<ExchangeReply>(message.body) : std::nullopt;
     if (!reply) return;
-    ++answers;
-    telling += reply->control_nodes.empty() ? 0 : 1;
+    ++replies;
+    with_lists += reply->control_nodes.empty() ? 0 : 1;
   };
   system.Run(kSeconds * kSecond);
   const int pairs = 3 * 2;
-  CHECK(telling <= pairs * kSeconds * 7);  // each 150 ms
-  CHECK(telling >= pairs * kSeconds * 4);
-  CHECK(answers > telling + pairs * kSeconds);
+  CHECK(with_lists <= pairs * kSeconds * 7);  // each 150 ms
+  CHECK(with_lists >= pairs * kSeconds * 4);
+  CHECK(replies > with_lists + pairs * kSeconds);
   for (std::size_t i = 0; i < system.sidecars(); ++i)
     CHECK(system.sidecar(i).view->MakeDirectory()->sidecars() == 2);
 }
 
-TEST_CASE("Cores: a server that has left by the log stays so when another process tells of it as ready") {
+TEST_CASE("System: a server deregistered by the log stays so when a peer reports it as ready") {
   VirtualSystem system(3, 1, 1);
   system.Run(2 * kSecond);
   int status = 0;
@@ -506,8 +511,9 @@
 
 // A sidecar that asks again while servers have changed meanwhile was answered each time, as fast as it could
 // ask.
-TEST_CASE("Cores: while servers keep changing, each of many sidecars is answered once between two wakes") {
-  constexpr std::size_t kSidecars = 80;             // a wake each 60 ms
+TEST_CASE(
+    "System: while servers keep changing, each of many sidecars gets one reply per notification interval") {
+  constexpr std::size_t kSidecars = 80;             // a notification each 60 ms
   constexpr double kMostAnswers = 1000.0 / 60 + 1;  // a second
   VirtualSystem system(3, kSidecars, 1);
   system.Run(3 * kSecond);
@@ -534,9 +540,9 @@
   CHECK(system.violations().empty());
 }
 
-// What a sidecar has heard of, it may have dropped since by the word of another process.
+// A sidecar may have dropped, because of another process, an instance that its version vector covers.
 TEST_CASE(
-    "Cores: a sidecar that comes from another process is told of all servers, whatever it has heard before") {
+    "System: a sidecar that comes from another process gets the complete instance list, whatever it knows") {
   Play play;
   play.Configure(3, 0);
   play.AwaitServers(2);
@@ -545,20 +551,20 @@
   std::optional<WatchReply> reply;
   WatchRequest request;
   request.node = "edge-2";
-  const auto pull = [&] {
+  const auto watch = [&] {
     reply.reset();
     core.Watch(request, play.system.now(), [&](const std::optional<WatchReply>& got) { reply = got; });
     REQUIRE(reply.has_value());
     CHECK(reply->complete);
     CHECK(reply->changed_instances.size() == 2);
   };
-  pull();
+  watch();
   request.incarnation = "the incarnation of another process";
   request.version_vector = reply->version_vector;
-  pull();
+  watch();
 }
 
-TEST_CASE("Cores: two changes on the same version through processes that are cut off in turn: one wins") {
+TEST_CASE("System: of two changes on one version through processes partitioned in turn exactly one wins") {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     INFO("seed " << seed);
     Play play(seed);
@@ -574,7 +580,7 @@
   }
 }
 
-TEST_CASE("Cores: a process that stood still answers nothing old") {
+TEST_CASE("System: a process resumed from a suspension answers nothing stale") {
   Play play;
   play.Configure(3, 0);
   for (std::size_t i = 0; i < 3; ++i) {
@@ -582,14 +588,14 @@
     const auto version = static_cast<std::int64_t>(4 + i);
     play.system.Freeze(i, 3 * kSecond);
     // A read that comes meanwhile is answered as it wakes.
-    const Micros silence = std::exchange(play.system.silence, 5 * kSecond);
+    const Micros call_timeout = std::exchange(play.system.call_timeout, 5 * kSecond);
     int status = 0;
     std::string read;
     play.system.CallPublic(i, "GET", "/api/configuration", "", 0, [&](int got, const std::string& body) {
       status = got;
       read = body;
     });
-    play.system.silence = silence;
+    play.system.call_timeout = call_timeout;
     play.Configure(version, version - 1, i + 1);
     play.system.Run(4 * kSecond);
     CHECK(status != 0);
--- a/tests/control/worst_days_test.cpp
+++ b/tests/control/worst_days_test.cpp
@@ -1,5 +1,5 @@
-// The days of control that users fear most, on the virtual system; what holds and why is in
-// docs/consensus.md. The days of a second loss after a repair are in membership_test.cpp.
+// The fault scenarios ("days") that users ask about most, on the virtual system. docs/consensus.md says what
+// holds in each, and why. A second loss after a repair is in membership_test.cpp.
 #include <catch2/catch.hpp>
 #include <memory>
 #include <nlohmann/json.hpp>
@@ -32,11 +32,12 @@
   Called Wait(const std::function<void(std::function<void(int, const std::string&)>)>& call) {
     const auto called = std::make_shared<Called>();
     const Micros from = system.now();
-    const Micros silence = std::exchange(system.silence, std::max(system.silence, kCallerWaits));
+    const Micros call_timeout =
+        std::exchange(system.call_timeout, std::max(system.call_timeout, kCallerWaits));
     call([called, from, this](int status, const std::string& body) {
       *called = {status, body, system.now() - from};
     });
-    system.silence = silence;
+    system.call_timeout = call_timeout;
     system.RunUntil([&] { return called->status >= 0; }, 3 * kSecond);
     return *called;
   }
@@ -46,8 +47,8 @@
   Called Read(std::size_t at) {
     return Wait([&](auto done) { system.CallPublic(at, "GET", "/api/configuration", "", 0, done); });
   }
-  Called Pull(std::size_t at) {
-    return Wait([&](auto done) { system.CallPull(at, done); });
+  Called Watch(std::size_t at) {
+    return Wait([&](auto done) { system.CallWatch(at, done); });
   }
   Called Heartbeat(std::size_t at, const std::string& phase) {
     const json body{
@@ -86,7 +87,7 @@
 // How long a proof of contact may count: a follower's, and then a leader's lease on which it stood.
 constexpr Micros kProofCounts = 900'000;
 
-TEST_CASE("Day 1: a process that is cut off for 20 s hands out nothing old, confirms and refuses nothing") {
+TEST_CASE("Day 1: a process partitioned for 20 s returns nothing stale, acknowledges and rejects nothing") {
   for (const bool leader : {true, false}) {
     INFO((leader ? "the leader" : "a follower"));
     Day day;
@@ -103,7 +104,7 @@
       for (const std::int64_t base : {std::int64_t{1}, version})
         CHECK((day.Put(cut, base, Document(version + 7)).status == 503));
       CHECK(day.Read(cut).status == 503);
-      CHECK(day.Pull(cut).status == 503);
+      CHECK(day.Watch(cut).status == 503);
       CHECK(day.Heartbeat(cut, "ready").status == 503);
       CHECK(day.Heartbeat(cut, "draining").status == 503);
     }
@@ -115,12 +116,12 @@
     const Called read = day.Read(cut);
     CHECK(read.status == 200);
     CHECK(VersionOf(read) == version);
-    CHECK(day.Pull(cut).status == 200);
+    CHECK(day.Watch(cut).status == 200);
     CHECK(day.system.violations().empty());
   }
 }
 
-TEST_CASE("Day 1: a process that stood still for 20 s answers by what it hears after that alone") {
+TEST_CASE("Day 1: a process suspended for 20 s answers by messages received after it resumed alone") {
   for (std::size_t frozen = 0; frozen < 3; ++frozen) {
     Day day;
     day.Configure(0, Document(1));
@@ -129,9 +130,9 @@
     day.system.Run(kSecond / 2);
     for (std::size_t i = 0; i < 3; ++i)
       if (i != frozen) day.system.PowerOff(i);  // what they sent lies unread there
-    day.system.silence = 30 * kSecond;
+    day.system.call_timeout = 30 * kSecond;
     const Called pull = day.Wait([&](auto done) {
-      day.system.CallPull(frozen, done);
+      day.system.CallWatch(frozen, done);
       day.system.Run(20 * kSecond);
     });
     CHECK(pull.status == 503);
@@ -139,7 +140,8 @@
 }
 
 TEST_CASE(
-    "Day 2: of two operators under one number one is confirmed, also after a lost answer and many more") {
+    "Day 2: of two changes under one version one is acknowledged, also after a lost answer and later "
+    "changes") {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     INFO("seed " << seed);
     Day day(seed % 2 == 0 ? 3 : 5, seed);
@@ -174,7 +176,8 @@
   }
 }
 
-TEST_CASE("Day 4: a process that was down for 300 changes is level within seconds, and leads by the newest") {
+TEST_CASE(
+    "Day 4: a process that was down for 300 changes catches up within seconds, and leads by the newest") {
   constexpr Micros kLevelWithin = 2 * kSecond;
   constexpr int kRoutes = 600;  // 68 kB: a snapshot of several messages, taken with every eighth change
   Day day;
@@ -197,8 +200,7 @@
 }
 
 // Each document is hundreds of kB at the larger deployments, to a hundred sidecars.
-TEST_CASE(
-    "Day 4: of changes that follow each other closely a sidecar is sent the last, four a second at most") {
+TEST_CASE("Day 4: of changes in quick succession a sidecar is sent the last, four a second at most") {
   constexpr int kChanges = 36;
   constexpr Micros kGap = kSecond / 12;
   Day day;
--- a/tests/testing/virtual_system.hpp
+++ b/tests/testing/virtual_system.hpp
@@ -1,6 +1,6 @@
-// A deterministic system: the cores of control processes and of sidecars' links on a virtual clock, with a
-// network that delays, cuts, and may lose, double, hold up or change one message, and disks that lose what
-// was not synced. What is said between the cores goes through its form on the wire, as between real
+// A deterministic simulation: the cores of control processes and of sidecars' control links on a virtual
+// clock, with a network that delays and partitions, and may lose, duplicate, delay or change one message, and
+// disks that lose what was not synced. Messages between the cores are encoded and decoded, as between real
 // processes.
 #ifndef VIOLETWING_TESTS_TESTING_VIRTUAL_SYSTEM_HPP_
 #define VIOLETWING_TESTS_TESTING_VIRTUAL_SYSTEM_HPP_
@@ -26,20 +26,21 @@
 
 namespace violetwing::testing {
 
-// One message on its way: the body of a call, or of the answer to one.
+/// A message in flight: the body of a call, or of the answer to one.
 struct WireMessage {
   std::string path;
   bool answer = false;
   std::string body;
-  int copies = 1;  // 0: lost
-  std::int64_t held_up = 0;
+  int copies = 1;          ///< how often it arrives; 0: lost
+  Micros extra_delay = 0;  ///< on top of the network's delay
 };
 
+/// All times in microseconds of virtual time.
 class VirtualSystem {
  public:
   static constexpr Micros kStep = 10'000;
   static constexpr Micros kTick = 50'000;
-  static constexpr int kPullWaitMs = 400;
+  static constexpr int kWatchWaitMs = 400;
 
   struct Control {
     std::string address;  // for internal calls
@@ -55,9 +56,9 @@
   struct Sidecar {
     std::unique_ptr<SystemView> view;
     std::unique_ptr<ControlProcessSelector> choice;
-    bool pulling = false;
-    Micros pull_at = 0;
-    std::int64_t highest = 0;  // version that it has held
+    bool watch_in_flight = false;
+    Micros next_watch_at = 0;
+    std::int64_t highest_version = 0;  ///< of the configurations that it has had
   };
 
   VirtualSystem(std::size_t controls, std::size_t sidecars, std::uint64_t seed) : random_(seed) {
@@ -86,11 +87,11 @@
   std::size_t controls() const { return controls_.size(); }
   std::size_t sidecars() const { return sidecars_.size(); }
   const std::vector<std::string>& violations() const { return violations_; }
-  Micros silence = 600'000;  // after which a call has failed
-  // May change any message on its way.
+  Micros call_timeout = 600'000;  ///< after which a call without an answer has failed
+  /// May change any message in flight.
   std::function<void(WireMessage&)> tamper;
-  // Observers of what leaves the processes: messages as they are sent, writes as they are handed to the disk,
-  // calls to model servers. Without the last two, calls to servers get no answer.
+  /// Observers of what leaves the processes: messages as they are sent, writes as they are handed to the
+  /// disk, calls to model servers. Without the last two, calls to servers get no answer.
   std::function<void(const WireMessage&)> on_message;
   std::function<void(std::size_t control, const ShardWrite&)> on_write;
   std::function<void(std::size_t control, const PlacementCall&, consensus::Term fencing_token)> on_order;
@@ -135,7 +136,7 @@
         Shards::Stored{control.disk, control.stored}, std::move(outputs), now_);
   }
   bool Up(std::size_t i) const { return controls_[i].core != nullptr; }
-  // The process ends; what it had handed to the system is kept.
+  /// The process ends; writes handed to the operating system survive.
   void Kill(std::size_t i) {
     for (const auto& write : controls_[i].writes) Store(controls_[i], write.second.first);
     PowerOff(i);
@@ -147,7 +148,7 @@
   void Freeze(std::size_t i, Micros span) { controls_[i].frozen_until = now_ + span; }
   void StallDisk(std::size_t i, Micros span) { controls_[i].disk_stalled_until = now_ + span; }
   void Cut(std::size_t i) { cut_.insert(controls_[i].address); }
-  // From the other control processes alone: servers, sidecars and operators reach it.
+  /// Partitions it from the other control processes alone: servers, sidecars and operators reach it.
   void CutFromCore(std::size_t i) { core_cut_.insert(controls_[i].address); }
   void Heal() {
     cut_.clear();
@@ -156,16 +157,16 @@
 
   // ---- Calls from outside ----
 
-  // Does something after a delay, in the order of the clock.
+  /// Calls `act` after a delay.
   void After(Micros delay, std::function<void()> act) { At(now_ + delay, std::move(act)); }
 
-  // A pull with nothing known, as of a sidecar that has just started.
-  void CallPull(std::size_t i, std::function<void(int status, const std::string&)> done) {
+  /// A watch with nothing known, as of a sidecar that has just started.
+  void CallWatch(std::size_t i, std::function<void(int status, const std::string&)> done) {
     WatchRequest request;
     request.node = "edge-new";
     Carry("outside", i, {"POST", kWatchPath, Encode(request), {}}, /*internal=*/true, std::move(done));
   }
-  // `done` gets an HTTP status, 0 if there was no answer.
+  /// `done` gets an HTTP status, 0 if there was no answer.
   void CallPublic(std::size_t i, const std::string& method, const std::string& path, const std::string& body,
                   std::int64_t base, std::function<void(int status, const std::string&)> done) {
     http::Request request{method, path, body, std::to_string(base)};
@@ -223,7 +224,7 @@
     if (tamper) tamper(message);
     if (on_message) on_message(message);
     for (int copy = 0; copy < message.copies; ++copy)
-      At(now_ + Draw(3'000) + message.held_up, [this, from, to, arrive, body = message.body] {
+      At(now_ + Draw(3'000) + message.extra_delay, [this, from, to, arrive, body = message.body] {
         if (!Cutoff(from, to)) arrive(body);
       });
   }
@@ -242,7 +243,7 @@
     const auto end = [over, done = std::move(done)](int status, const std::string& body) {
       if (!std::exchange(*over, true)) done(status, body);
     };
-    At(now_ + silence, [end] { end(0, {}); });
+    At(now_ + call_timeout, [end] { end(0, {}); });
     const std::string path = request.path;
     const std::string address = controls_[to].address;
     WireMessage message{path, false, request.body};
@@ -281,7 +282,7 @@
       if (now_ % kTick == 0) controls_[i].core->Tick(now_);
     }
     for (std::size_t i = 0; i < sidecars_.size(); ++i)
-      if (!sidecars_[i].pulling && now_ >= sidecars_[i].pull_at) Pull(i);
+      if (!sidecars_[i].watch_in_flight && now_ >= sidecars_[i].next_watch_at) Watch(i);
   }
 
   void FinishWrites(Control& control) {
@@ -290,33 +291,34 @@
       const auto write = std::move(control.writes.front().second);
       control.writes.pop_front();
       Store(control, write.first);
-      control.core->Written(write.second, now_);
+      control.core->OnWriteDurable(write.second, now_);
     }
   }
 
-  void Pull(std::size_t i) {
+  void Watch(std::size_t i) {
     Sidecar& sidecar = sidecars_[i];
-    sidecar.pulling = true;
+    sidecar.watch_in_flight = true;
     const std::string to = sidecar.choice->Current(sidecar.view->controls());
-    CallInternal("edge-" + std::to_string(i), to, kWatchPath, Encode(sidecar.view->NextPull(kPullWaitMs, {})),
+    CallInternal("edge-" + std::to_string(i), to, kWatchPath,
+                 Encode(sidecar.view->NextPull(kWatchWaitMs, {})),
                  [this, i](int status, const std::string& body) { OnWatched(i, status, body); });
   }
 
   void OnWatched(std::size_t i, int status, const std::string& body) {
     Sidecar& sidecar = sidecars_[i];
-    sidecar.pulling = false;
+    sidecar.watch_in_flight = false;
     if (const auto reply = Read<WatchReply>(status, body)) {
       sidecar.view->Take(*reply);
       sidecar.choice->OnAnswered(sidecar.view->controls(), now_);
-      sidecar.pull_at = now_;
+      sidecar.next_watch_at = now_;
     } else {
       sidecar.choice->OnFailed(sidecar.view->controls(), now_);
-      sidecar.pull_at = now_ + 100'000;
+      sidecar.next_watch_at = now_ + 100'000;
     }
-    if (sidecar.view->version() < sidecar.highest)
+    if (sidecar.view->version() < sidecar.highest_version)
       violations_.push_back("sidecar " + std::to_string(i) + " went back from version " +
-                            std::to_string(sidecar.highest));
-    sidecar.highest = std::max(sidecar.highest, sidecar.view->version());
+                            std::to_string(sidecar.highest_version));
+    sidecar.highest_version = std::max(sidecar.highest_version, sidecar.view->version());
   }
 
   Micros now_ = 1'000'000;
