--- a/src/control/replication/shard_state_machines.hpp
+++ b/src/control/replication/shard_state_machines.hpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "control/configuration/state.hpp"
-#include "control/instances/departures.hpp"
+#include "control/instances/deregistrations.hpp"
 #include "control/replication/state_machine.hpp"
 
 namespace violetwing {
--- a/src/control/replication/shards.cpp
+++ b/src/control/replication/shards.cpp
@@ -144,7 +144,7 @@
   for (const auto& shard : shards_) {
     for (const consensus::Member& member : shard->replica().members()) addresses.push_back(member.address);
     const auto next = consensus::NextMembership(shard->replica(), policy, now);
-    if (!next || !shard->replica().ProposeMembers(*next)) continue;
+    if (!next || !consensus::IsAppended(shard->replica().ProposeMembers(*next))) continue;
     spdlog::info("membership change proposed shard={} replicas={}", shard->shard(), next->size());
     shard->Tick(now);
   }
--- a/src/dataplane/control_client/system_view.cpp
+++ b/src/dataplane/control_client/system_view.cpp
@@ -10,38 +10,38 @@
 WatchRequest SystemView::NextWatchRequest(int wait_ms, std::vector<ModelDemand> demand) const {
   WatchRequest request;
   request.node = node_;
-  request.address = address_;
+  request.load_report_address = address_;
   request.neighbors_hash = neighbors_.hash;
-  request.source = source_;
-  request.configuration = version();
-  request.takes_patches = takes_patches_;
-  request.known = version_vector_;
+  request.incarnation = source_;
+  request.configuration_version = version();
+  request.accepts_patches = takes_patches_;
+  request.version_vector = known_;
   request.wait_ms = wait_ms;
   request.demand = std::move(demand);
   return request;
 }
 
-bool SystemView::Apply(const WatchReply& reply) {
-  const bool renumbered = reply.number != number_ || reply.sidecars != sidecars_;
-  const bool configuration_changed = ApplyConfiguration(reply);
-  const bool instances_changed = ApplyInstances(reply);
-  source_ = reply.source;
-  controls_ = reply.controls;
-  const bool neighbors_changed = reply.neighbors.hash != neighbors_.hash;
-  if (neighbors_changed) neighbors_ = reply.neighbors;
-  number_ = reply.number;
-  sidecars_ = reply.sidecars;
-  return renumbered || configuration_changed || instances_changed || neighbors_changed;
+bool SystemView::Take(const WatchReply& reply) {
+  const bool moved = reply.window_position != number_ || reply.sidecar_count != sidecars_;
+  const bool configured = TakeConfiguration(reply);
+  const bool listed = TakeInstances(reply);
+  source_ = reply.incarnation;
+  controls_ = reply.control_nodes;
+  const bool met = reply.neighbors.hash != neighbors_.hash;
+  if (met) neighbors_ = reply.neighbors;
+  number_ = reply.window_position;
+  sidecars_ = reply.sidecar_count;
+  return moved || configured || listed || met;
 }
 
-bool SystemView::ApplyConfiguration(const WatchReply& reply) {
-  if (reply.configuration <= version()) return false;
-  if (reply.document.empty() && reply.patches.empty()) return false;
+bool SystemView::TakeConfiguration(const WatchReply& reply) {
+  if (reply.configuration_version <= version()) return false;
+  if (reply.configuration_document.empty() && reply.configuration_patches.empty()) return false;
   std::optional<configuration::ReadResult> read = ReadConfiguration(reply);
   takes_patches_ = read && read->configuration != nullptr;  // else the full document is requested next
   if (!takes_patches_) {
-    spdlog::error("configuration rejected version={} findings={}", reply.configuration,
-                  read ? ToText(read->findings) : "patches do not apply to the current version");
+    spdlog::error("version {} cannot be read: {}", reply.configuration_version,
+                  read ? ToText(read->findings) : "its patches do not fit the version held");
     return false;
   }
   configuration_ = std::move(read->configuration);
@@ -54,41 +54,41 @@
 
 // Empty if the patches do not lead from the current version to the reply's.
 std::optional<configuration::ReadResult> SystemView::ReadConfiguration(const WatchReply& reply) const {
-  if (reply.patches.empty()) return configuration::Read(reply.document);
-  if (configuration_message_ == nullptr) return std::nullopt;
+  if (reply.configuration_patches.empty()) return configuration::Read(reply.configuration_document);
+  if (message_ == nullptr) return std::nullopt;
   std::vector<nlohmann::ordered_json> patches;
-  for (const std::string& patch : reply.patches)
+  for (const std::string& patch : reply.configuration_patches)
     patches.push_back(nlohmann::ordered_json::parse(patch, nullptr, /*allow_exceptions=*/false));
   std::optional<configuration::ReadResult> read =
       configuration::ReadPatched(*configuration_message_, patches);
   const bool fits =
-      read && read->configuration != nullptr && read->configuration->version == reply.configuration;
+      read && read->configuration != nullptr && read->configuration->version == reply.configuration_version;
   return fits ? std::move(read) : std::nullopt;
 }
 
-bool SystemView::ApplyInstances(const WatchReply& reply) {
-  if (reply.whole) {
-    ReplaceInstances(reply);
+bool SystemView::TakeInstances(const WatchReply& reply) {
+  if (reply.complete) {
+    Replace(reply);
     return true;
   }
-  for (const Instance& instance : reply.changed) MergeInstance(instance);
-  for (const auto& [origin, counter] : reply.known)
-    version_vector_[origin] = std::max(version_vector_[origin], counter);
-  return !reply.changed.empty();
+  for (const Instance& instance : reply.changed_instances) Merge(instance);
+  for (const auto& [origin, counter] : reply.version_vector)
+    known_[origin] = std::max(known_[origin], counter);
+  return !reply.changed_instances.empty();
 }
 
 // Drops what another control process had sent, except that a server is draining or gone: this process may not
 // have learned of that yet.
 void SystemView::ReplaceInstances(const WatchReply& reply) {
   const std::map<std::string, Instance> before = std::exchange(instances_, {});
-  for (const Instance& instance : reply.changed) {
+  for (const Instance& instance : reply.changed_instances) {
     const auto known = before.find(instance.id);
-    const bool draining = known != before.end() && Leaves(known->second.phase);
-    if (draining) instances_[instance.id] = known->second;
-    MergeInstance(instance);
+    const bool leaves = known != before.end() && IsLeaving(known->second.phase);
+    if (leaves) instances_[instance.id] = known->second;
+    Merge(instance);
   }
-  // Incarnations of control processes that have ended are forgotten.
-  version_vector_ = reply.known;
+  // Lives of control processes that are over leave nothing behind.
+  known_ = reply.version_vector;
 }
 
 void SystemView::MergeInstance(const Instance& instance) {
@@ -98,8 +98,8 @@
     return;
   }
   Instance& known = it->second;
-  if (instance.sequence < known.sequence && !Leaves(instance.phase)) return;
-  const Phase phase = LaterPhase(known.phase, instance.phase);
+  if (instance.sequence < known.sequence && !IsLeaving(instance.phase)) return;
+  const Phase phase = MergePhase(known.phase, instance.phase);
   known = instance;
   known.phase = phase;
 }
