--- a/src/dataplane/routing/attempt.hpp
+++ b/src/dataplane/routing/attempt.hpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "dataplane/routing/retry_backoff.hpp"
-#include "dataplane/upstream/upstream.hpp"
+#include "dataplane/upstream/upstream_exchange.hpp"
 
 namespace violetwing {
 
--- a/src/dataplane/routing/data_plane.hpp
+++ b/src/dataplane/routing/data_plane.hpp
@@ -11,7 +11,7 @@
 #include "dataplane/directory/directory.hpp"
 #include "dataplane/load_balancing/load_balancer.hpp"
 #include "dataplane/routing/retry_budget.hpp"
-#include "dataplane/upstream/upstream.hpp"
+#include "dataplane/upstream/upstream_pool.hpp"
 
 namespace violetwing {
 
--- a/src/dataplane/routing/request_deadline.hpp
+++ b/src/dataplane/routing/request_deadline.hpp
@@ -5,7 +5,7 @@
 #include <chrono>
 
 #include "control/configuration/reader.hpp"
-#include "dataplane/ingress/ingress.hpp"
+#include "dataplane/ingress/client_connection.hpp"
 
 namespace violetwing {
 
--- a/src/dataplane/routing/request_router.hpp
+++ b/src/dataplane/routing/request_router.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "control/configuration/reader.hpp"
-#include "dataplane/ingress/ingress.hpp"
+#include "dataplane/ingress/client_connection.hpp"
 #include "dataplane/load_balancing/request_attributes.hpp"
 #include "dataplane/routing/attempt.hpp"
 #include "dataplane/routing/data_plane.hpp"
--- a/src/dataplane/routing/upstream_request.hpp
+++ b/src/dataplane/routing/upstream_request.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-#include "dataplane/ingress/ingress.hpp"
+#include "dataplane/ingress/client_connection.hpp"
 #include "dataplane/load_balancing/server_state.hpp"
 
 namespace violetwing {
--- a/src/dataplane/upstream/upstream.hpp
+++ b/src/dataplane/upstream/upstream_exchange.hpp
@@ -1,21 +1,18 @@
-// HTTP/1.1 connections to servers: a pool of idle ones, and the exchange of one request and its response.
-#ifndef VIOLETWING_DATAPLANE_UPSTREAM_UPSTREAM_HPP_
-#define VIOLETWING_DATAPLANE_UPSTREAM_UPSTREAM_HPP_
+// The exchange of one HTTP/1.1 request and its response on a connection to a server.
+#ifndef VIOLETWING_DATAPLANE_UPSTREAM_UPSTREAM_EXCHANGE_HPP_
+#define VIOLETWING_DATAPLANE_UPSTREAM_UPSTREAM_EXCHANGE_HPP_
 
 #include <array>
-#include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
-#include <chrono>
 #include <cstdint>
-#include <deque>
 #include <functional>
-#include <map>
 #include <memory>
 #include <optional>
 #include <string>
+#include <string_view>
 
 #include "dataplane/http/http_text.hpp"
 
@@ -101,40 +98,6 @@
   bool reused_ = false;
 };
 
-/// Starts exchanges and keeps idle connections by server. Must outlive its exchanges.
-class UpstreamPool {
- public:
-  /// Everything runs on the thread of `io`.
-  explicit UpstreamPool(boost::asio::io_context& io) : io_(io) {}
-
-  /// Starts an exchange on an idle connection, or on a new one. No callback is called before this returns.
-  std::shared_ptr<UpstreamExchange> Start(UpstreamExchange::Request request, UpstreamExchange::Events events);
-  /// Closes idle connections that have expired, and those to servers for which `is_alive` is false.
-  void CloseIdleExcept(const std::function<bool(const std::string& instance)>& is_alive);
-  /// Closes all idle connections.
-  void CloseAll();
-  /// True if there is an idle connection to the server; it may have been closed by its other end.
-  bool HasIdle(const std::string& instance) const { return idle_.count(instance) > 0; }
-  /// Where its exchanges run.
-  boost::asio::io_context& io() { return io_; }
-
- private:
-  friend class UpstreamExchange;
-  using Tcp = boost::asio::ip::tcp;
-  struct Idle {
-    std::shared_ptr<Tcp::socket> socket;
-    std::chrono::steady_clock::time_point until;
-  };
-
-  std::shared_ptr<Tcp::socket> TakeIdle(const std::string& instance);
-  void PutIdle(const std::string& instance, std::shared_ptr<Tcp::socket> socket,
-               std::chrono::milliseconds idle);
-  void WatchIdle(const std::string& instance, const std::shared_ptr<Tcp::socket>& socket);
-
-  boost::asio::io_context& io_;
-  std::map<std::string, std::deque<Idle>> idle_;
-};
-
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_UPSTREAM_UPSTREAM_HPP_
+#endif  // VIOLETWING_DATAPLANE_UPSTREAM_UPSTREAM_EXCHANGE_HPP_
--- a/tests/dataplane/dataplane_test.cpp
+++ b/tests/dataplane/dataplane_test.cpp
@@ -1,6 +1,7 @@
 // A request's way through the sidecar, over real connections whose order each test forces.
 #include <catch2/catch.hpp>
 
+#include "dataplane/ingress/ingress.hpp"
 #include "dataplane/routing/request_router.hpp"
 #include "sidecar/scripted_peers.hpp"
 
