--- a/bench/http_stacks.cpp
+++ b/bench/http_stacks.cpp
@@ -19,7 +19,7 @@
 #include <string>
 #include <vector>
 
-#include "control/api/http.hpp"
+#include "control/api/http_server.hpp"
 #include "dataplane/ingress/ingress.hpp"
 
 namespace {
--- a/examples/loopback/stand_in.cpp
+++ b/examples/loopback/stand_in.cpp
@@ -4,7 +4,7 @@
 
 #include <cstdio>
 
-#include "control/api/http.hpp"
+#include "control/api/http_server.hpp"
 
 int main(int argc, char** argv) {
   using violetwing::http::Answer;
--- a/src/control/api/handlers.cpp
+++ b/src/control/api/handlers.cpp
@@ -5,6 +5,8 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
+#include "control/api/http_status.hpp"
+
 namespace violetwing {
 namespace {
 
@@ -13,23 +15,23 @@
 constexpr const char* kConfigurationPath = "/api/configuration";
 constexpr const char* kInstancesPath = "/api/instances/";
 
-http::Response Done() { return {200, "{}", {}}; }
+http::Response Success() { return {http::kOk, "{}", {}}; }
 
-http::Response Problem(int status, const std::string& problem) {
+http::Response Failure(int status, const std::string& problem) {
   return {status, json{{"error", problem}}.dump(), {}};
 }
 
 http::Response Unavailable(const std::string& problem) {
-  http::Response response = Problem(503, problem);
+  http::Response response = Failure(http::kServiceUnavailable, problem);
   response.headers.emplace_back("Retry-After", "0.2");
   return response;
 }
 
 http::Response NotFound(const http::Request& request) {
-  return Problem(404, "there is nothing at " + request.method + " " + request.path);
+  return Failure(http::kNotFound, "there is nothing at " + request.method + " " + request.path);
 }
 
-// `"7"`, `7` or nothing: the version that a change builds upon.
+// Reads the version that a change is based on: `"7"`, `7` or nothing, which is 0. False for any other text.
 bool ParseIfMatch(const std::string& text, std::int64_t& out) {
   std::string digits = text;
   std::erase_if(digits, [](char c) { return c == '"' || c == ' '; });
@@ -42,20 +44,20 @@
 int StatusOf(configuration::ChangeStatus status) {
   switch (status) {
     case configuration::ChangeStatus::kAccepted:
-      return 200;
+      return http::kOk;
     case configuration::ChangeStatus::kVersionConflict:
-      return 412;
+      return http::kPreconditionFailed;
     case configuration::ChangeStatus::kUnknown:
-      return 503;
+      return http::kServiceUnavailable;
     case configuration::ChangeStatus::kInvalid:
       break;
   }
-  return 400;
+  return http::kBadRequest;
 }
 
-ControlCore::OnTaken AnswersTaken(const http::Answer& answer) {
+ControlCore::OnTaken AnswerWhenTaken(const http::Answer& answer) {
   return [answer](ControlCore::Taken taken) {
-    answer(taken == ControlCore::Taken::kTaken ? Done() : Unavailable("no quorum has taken it yet"));
+    answer(taken == ControlCore::Taken::kTaken ? Success() : Unavailable("no quorum has taken it yet"));
   };
 }
 
@@ -68,46 +70,66 @@
     draining = in.value("phase", std::string("ready")) == "draining";
     instance = in.get<Instance>();
   } catch (const json::exception& error) {
-    return answer(Problem(400, error.what()));
+    return answer(Failure(http::kBadRequest, error.what()));
   }
   if (instance.backend.empty() || instance.address.empty())
-    return answer(Problem(400, "backend or address is missing"));
+    return answer(Failure(http::kBadRequest, "backend or address is missing"));
   instance.id = id;
-  core.Heartbeat(std::move(instance), draining, now, AnswersTaken(answer));
+  core.Heartbeat(std::move(instance), draining, now, AnswerWhenTaken(answer));
 }
 
 void HandleChange(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
   configuration::Change change;
   change.patch = request.method == "PATCH";
   if (!ParseIfMatch(request.if_match, change.base_version))
-    return answer(Problem(400, "If-Match: is no version"));
-  // What cannot be read is refused here: the log holds valid text alone.
-  if (!json::accept(request.body)) return answer(Problem(400, "document: cannot be read whole as JSON"));
+    return answer(Failure(http::kBadRequest, "If-Match: is no version"));
+  // Checked before it is submitted, so that the log holds valid JSON only.
+  if (!json::accept(request.body))
+    return answer(Failure(http::kBadRequest, "document: cannot be read whole as JSON"));
   change.body = request.body;
   core.Change(change, now, [answer](const std::optional<configuration::ChangeOutcome>& result) {
     if (!result) return answer(Unavailable("no quorum has taken it yet; send it again unchanged"));
     const int status = StatusOf(result->status);
-    if (status == 200) return answer({200, json{{"version", result->version}}.dump(), {}});
-    if (status == 503) return answer(Unavailable(result->message));
-    answer(Problem(status, result->message));
+    if (status == http::kOk) return answer({http::kOk, json{{"version", result->version}}.dump(), {}});
+    if (status == http::kServiceUnavailable) return answer(Unavailable(result->message));
+    answer(Failure(status, result->message));
   });
 }
 
 void HandleRead(ControlCore& core, Micros now, const http::Answer& answer) {
   core.ReadConfiguration(now, [answer](const std::optional<ControlCore::ConfigurationRead>& read) {
     if (!read) return answer(Unavailable("no quorum answers"));
-    if (read->version == 0) return answer(Problem(404, "there is no configuration yet"));
-    answer({200, read->document, {{"ETag", std::to_string(read->version)}}});
+    if (read->version == 0) return answer(Failure(http::kNotFound, "there is no configuration yet"));
+    answer({http::kOk, read->document, {{"ETag", std::to_string(read->version)}}});
   });
 }
 
-void HandlePull(ControlCore& core, WatchRequest request, Micros now, const http::Answer& answer) {
-  core.Pull(std::move(request), now, [answer](const std::optional<WatchReply>& reply) {
+void RejectBody(const http::Request& request, const http::Answer& answer) {
+  answer(Failure(http::kBadRequest, request.path + ": the body is no such call"));
+}
+
+void HandleExchange(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
+  const auto exchange = Decode<ExchangeRequest>(request.body);
+  if (!exchange) return RejectBody(request, answer);
+  answer({http::kOk, Encode(core.Exchange(*exchange, now)), {}, http::BodyType::kBinary});
+}
+
+void HandleWatch(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
+  auto watch = Decode<WatchRequest>(request.body);
+  if (!watch) return RejectBody(request, answer);
+  core.Pull(std::move(*watch), now, [answer](const std::optional<WatchReply>& reply) {
     if (!reply) return answer(Unavailable("this process is out of touch with the others, or stops"));
-    answer({200, Encode(*reply), {}, http::BodyType::kBinary});
+    answer({http::kOk, Encode(*reply), {}, http::BodyType::kBinary});
   });
 }
 
+void HandleDemand(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
+  const auto demand = Decode<std::vector<ModelDemand>>(request.body);
+  if (!demand) return RejectBody(request, answer);
+  core.Demand(*demand, now);
+  answer(Success());
+}
+
 }  // namespace
 
 void HandlePublic(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
@@ -117,28 +139,15 @@
   } else if (request.path.rfind(kInstancesPath, 0) == 0) {
     const std::string id = request.path.substr(std::string(kInstancesPath).size());
     if (request.method == "PUT") return HandleHeartbeat(core, id, request.body, now, answer);
-    if (request.method == "DELETE") return core.Deregister(id, now, AnswersTaken(answer));
+    if (request.method == "DELETE") return core.Deregister(id, now, AnswerWhenTaken(answer));
   }
   answer(NotFound(request));
 }
 
 void HandleInternal(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
-  const auto unreadable = [&] { answer(Problem(400, request.path + ": the body is no such call")); };
-  if (request.path == kExchangePath) {
-    const auto exchange = Decode<ExchangeRequest>(request.body);
-    if (!exchange) return unreadable();
-    return answer({200, Encode(core.Exchange(*exchange, now)), {}, http::BodyType::kBinary});
-  }
-  if (request.path == kWatchPath) {
-    auto pull = Decode<WatchRequest>(request.body);
-    return pull ? HandlePull(core, std::move(*pull), now, answer) : unreadable();
-  }
-  if (request.path == kDemandPath) {
-    const auto demand = Decode<std::vector<ModelDemand>>(request.body);
-    if (!demand) return unreadable();
-    core.Demand(*demand, now);
-    return answer(Done());
-  }
+  if (request.path == kExchangePath) return HandleExchange(core, request, now, answer);
+  if (request.path == kWatchPath) return HandleWatch(core, request, now, answer);
+  if (request.path == kDemandPath) return HandleDemand(core, request, now, answer);
   answer(NotFound(request));
 }
 
--- a/src/control/api/handlers.hpp
+++ b/src/control/api/handlers.hpp
@@ -1,5 +1,5 @@
-// The HTTP surface of a control process: reads what was called, hands it to the core, and words the answer.
-// It holds no clock, socket, file or thread.
+// The HTTP API of a control process: decodes requests, passes them to the core and encodes its answers. It
+// holds no clock, socket, file or thread.
 #ifndef VIOLETWING_CONTROL_API_HANDLERS_HPP_
 #define VIOLETWING_CONTROL_API_HANDLERS_HPP_
 
@@ -9,9 +9,10 @@
 
 namespace violetwing {
 
-// Calls of servers and of the operator.
+/// Requests of servers and of the operator (PROTOCOL.md). `answer` is called once, at once or later; a path
+/// or method that does not exist is answered with 404.
 void HandlePublic(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer);
-// Calls of the other processes of the system.
+/// Requests of the other control processes and of the sidecars (messages/peer.hpp); likewise.
 void HandleInternal(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer);
 
 }  // namespace violetwing
--- /dev/null
+++ b/src/control/api/http_client.hpp
@@ -0,0 +1,59 @@
+// An HTTP client over libevent's evhttp that keeps one connection to each address.
+#ifndef VIOLETWING_CONTROL_API_HTTP_CLIENT_HPP_
+#define VIOLETWING_CONTROL_API_HTTP_CLIENT_HPP_
+
+#include <event2/event.h>
+#include <event2/http.h>
+
+#include <chrono>
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+
+#include "control/api/messages.hpp"
+
+namespace violetwing::http {
+
+/// Not thread-safe: it runs on the event loop that it is given.
+class Client {
+ public:
+  /// `status` is an HTTP status, or 0 if no complete response was received. Called once, unless the client
+  /// ends before.
+  using ResponseCallback = std::function<void(int status, std::string body)>;
+
+  /// `base` outlives the client.
+  explicit Client(event_base* base) : base_(base) {}
+  ~Client();
+  Client(const Client&) = delete;
+  Client& operator=(const Client&) = delete;
+
+  /// Sends a request to an address host:port; requests to one address are sent one after the other.
+  /// `timeout` bounds each wait without progress: for the connection, and for the response. A request that
+  /// times out resets its connection, so that the peer does not receive it later.
+  void Call(const std::string& address, const std::string& method, const std::string& path, std::string body,
+            std::chrono::milliseconds timeout, ResponseCallback done, const Headers& headers = {},
+            BodyType type = BodyType::kJson);
+  /// Closes connections without pending requests that were last used longer ago than this.
+  void CloseIdle(std::chrono::seconds max_idle);
+
+ private:
+  struct Connection {
+    evhttp_connection* handle = nullptr;
+    std::size_t pending_requests = 0;
+    std::chrono::steady_clock::time_point last_used_at;
+  };
+  struct PendingRequest {
+    std::weak_ptr<Connection> connection;
+    ResponseCallback done;
+  };
+  static void OnDone(evhttp_request* request, void* pending);
+  static void ResetOnClose(evhttp_connection* connection);
+
+  event_base* base_;
+  std::map<std::string, std::shared_ptr<Connection>> connections_;
+};
+
+}  // namespace violetwing::http
+
+#endif  // VIOLETWING_CONTROL_API_HTTP_CLIENT_HPP_
--- a/src/control/api/messages.hpp
+++ b/src/control/api/messages.hpp
@@ -1,4 +1,4 @@
-// A call to a control process and its answer, free of the library that carries them.
+// A request to a control process and its response, independent of the HTTP library.
 #ifndef VIOLETWING_CONTROL_API_MESSAGES_HPP_
 #define VIOLETWING_CONTROL_API_MESSAGES_HPP_
 
@@ -9,25 +9,29 @@
 
 namespace violetwing::http {
 
+/// Names and values.
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
+/// A request as the server has received it.
 struct Request {
   std::string method;
-  std::string path;  // without the query
+  std::string path;  ///< without the query
   std::string body;
-  std::string if_match;
+  std::string if_match;  ///< the header If-Match; empty without it
 };
 
-enum class BodyType { kJson, kBinary };  // binary: of internal calls
+/// kBinary: protocol buffers, in requests between the processes of the system.
+enum class BodyType { kJson, kBinary };
 
+/// The response to be sent.
 struct Response {
   int status = 200;
-  std::string body;  // may be empty
+  std::string body;  ///< may be empty
   Headers headers;
   BodyType type = BodyType::kJson;
 };
 
-// Takes the answer to one request: to be called once, at any time.
+/// Receives the response to one request. To be called once, at any time; further calls are ignored.
 using Answer = std::function<void(Response)>;
 
 }  // namespace violetwing::http
--- a/src/control/control_service.hpp
+++ b/src/control/control_service.hpp
@@ -10,7 +10,8 @@
 #include <system_error>
 
 #include "common/node_settings.hpp"
-#include "control/api/http.hpp"
+#include "control/api/http_client.hpp"
+#include "control/api/http_server.hpp"
 #include "control/control_core.hpp"
 #include "control/storage/store.hpp"
 
--- a/tests/control/api/http_client_test.cpp
+++ b/tests/control/api/http_client_test.cpp
@@ -1,4 +1,6 @@
-// Calls of a control process to servers and other control processes, over loopback.
+// Requests of a control process to servers and other control processes, over loopback.
+#include "control/api/http_client.hpp"
+
 #include <arpa/inet.h>
 #include <event2/event.h>
 #include <netinet/in.h>
@@ -10,12 +12,10 @@
 #include <memory>
 #include <string>
 
-#include "control/api/http.hpp"
-
 namespace violetwing::http {
 namespace {
 
-constexpr std::chrono::milliseconds kSilence{50};
+constexpr std::chrono::milliseconds kTimeout{50};
 // More than the system takes in for a peer that does not read: some of it waits to be sent.
 constexpr std::size_t kLargeBody = std::size_t{8} * 1024 * 1024;
 
@@ -56,14 +56,14 @@
 
 }  // namespace
 
-// Its bytes may still be on their way, and an order that comes seconds late is one of an earlier leader.
-TEST_CASE("A call that is given up resets its connection, so that nothing of it arrives later") {
+// Otherwise the kernel may still deliver the request seconds later, when its sender may no longer lead.
+TEST_CASE("A request that times out resets its connection, so that no part of it arrives later") {
   const std::unique_ptr<event_base, void (*)(event_base*)> base(event_base_new(), event_base_free);
   const SilentPeer peer;
   int status = -1;
   {
     Client client(base.get());
-    client.Call(peer.address(), "POST", "/api/order", std::string(kLargeBody, 'x'), kSilence,
+    client.Call(peer.address(), "POST", "/api/order", std::string(kLargeBody, 'x'), kTimeout,
                 [&](int got, const std::string&) {
                   status = got;
                   event_base_loopbreak(base.get());
