--- a/tests/control/consensus/replication_test.cpp
+++ b/tests/control/consensus/replication_test.cpp
@@ -1,5 +1,4 @@
-// Catching up: snapshots in chunks, appends of bounded size, and replicas that are behind while changes go
-// on.
+// Catch-up: snapshots in chunks, appends of bounded size, and replicas that are behind while entries arrive.
 #include <catch2/catch.hpp>
 #include <set>
 #include <string>
--- a/tests/testing/cluster.hpp
+++ b/tests/testing/cluster.hpp
@@ -29,6 +29,7 @@
   static constexpr Micros kTimeStep = 10'000;
   static constexpr Micros kMembershipReviewInterval = 50'000;
 
+  /// A machine with its disk and process; `replica` is null while the process is down.
   struct Machine {
     std::string address;
     std::string disk_id;
@@ -45,13 +46,14 @@
     bool draining = false;               // has announced its shutdown to all
   };
 
-  Cluster(std::size_t machines, std::size_t bootstrap_members, std::uint64_t seed) : random_(seed) {
+  /// Starts `machines`, of which the first `bootstrap_count` form the group; the others are spares.
+  Cluster(std::size_t machines, std::size_t bootstrap_count, std::uint64_t seed) : random_(seed) {
     for (std::size_t i = 0; i < machines; ++i) {
       Machine machine;
       machine.address = "m" + std::to_string(i);
-      machine.disk_id = i < bootstrap_members ? "founder/" + machine.address : NewDiskId();
+      machine.disk_id = i < bootstrap_count ? "founder/" + machine.address : NewDiskId();
       machines_.push_back(std::move(machine));
-      if (i < bootstrap_members)
+      if (i < bootstrap_count)
         bootstrap_members_.push_back({"founder/m" + std::to_string(i), "m" + std::to_string(i)});
     }
     for (std::size_t i = 0; i < machines; ++i) Start(i);
@@ -61,11 +63,14 @@
   Machine& machine(std::size_t i) { return machines_[i]; }
   std::size_t size() const { return machines_.size(); }
   Random& random() { return random_; }
+  /// Descriptions of violated safety properties.
   const std::vector<std::string>& violations() const { return violations_; }
+  /// Commands that some machine has applied.
   const std::set<std::string>& acknowledged() const { return acknowledged_; }
 
   // ---- Faults ----
 
+  /// Starts the process of machine `i` from its disk.
   void Start(std::size_t i) {
     Machine& machine = machines_[i];
     const bool is_bootstrap = machine.disk_id.rfind("founder/", 0) == 0;
@@ -76,9 +81,9 @@
     ApplyEffects(i);
   }
   bool IsRunning(std::size_t i) const { return machines_[i].replica != nullptr; }
-  // Writes in progress end with the process: the next one never sees one complete later.
+  /// Writes in progress end with the process: the next one never sees one complete later.
   void Kill(std::size_t i) { PowerOff(i); }
-  // A prefix of the writes that were not synced may have reached the disk.
+  /// A prefix of the writes that were not synced may have reached the disk.
   void PowerOff(std::size_t i) {
     Machine& machine = machines_[i];
     machine.replica.reset();
@@ -91,6 +96,7 @@
     machine.writes.clear();
     machine.writes_in_progress = 0;
   }
+  /// Stops the machine and gives it an empty disk with a new id.
   void LoseDisk(std::size_t i) {
     Machine& machine = machines_[i];
     machine.replica.reset();
@@ -99,21 +105,28 @@
     machine.disk = {};
     machine.disk_id = NewDiskId();
   }
+  /// The process takes no step for `duration`; messages to it wait.
   void Freeze(std::size_t i, Micros duration) { machines_[i].frozen_until = now_ + duration; }
+  /// No write completes for `duration`.
   void StallDisk(std::size_t i, Micros duration) { machines_[i].disk_stalled_until = now_ + duration; }
+  /// Drops messages in this direction until Heal().
   void Cut(std::size_t from, std::size_t to) { blocked_links_.insert({from, to}); }
   void Heal() { blocked_links_.clear(); }
+
+  // ---- Parameters ----
+
   double drop_probability = 0;
   double duplicate_probability = 0;
   Micros max_delay = 3'000;
   Micros tick_interval = kTimeStep;       // the same phase on all machines
   std::size_t compaction_threshold = 24;  // entries since the snapshot
   Micros catch_up_time = 4'000'000;       // after its start a machine still counts as lost for this long
-  // Called for each message sent; may change it, or drop it by returning false.
+  /// Called for each message sent; may change it, or drop it by returning false.
   std::function<bool(Message&)> mutate;
 
   // ---- Work ----
 
+  /// The running machine that leads with a lease and is ready, the one of the highest term.
   std::optional<std::size_t> Leader() const {
     std::optional<std::size_t> found;
     for (std::size_t i = 0; i < machines_.size(); ++i) {
@@ -125,7 +138,7 @@
     }
     return found;
   }
-  // Proposes to machine `i`; false if it does not lead. Acknowledged once any machine applies it.
+  /// Proposes to machine `i`; false if it does not lead. Acknowledged once any machine applies it.
   bool Propose(std::size_t i, const std::string& command) {
     Machine& machine = machines_[i];
     if (machine.replica == nullptr || !IsAppended(machine.replica->Propose(command))) return false;
@@ -133,6 +146,7 @@
     return true;
   }
 
+  /// Advances the virtual clock by `duration` in steps of kTimeStep.
   void Run(Micros duration) {
     const Micros until = now_ + duration;
     while (now_ < until) {
@@ -149,13 +163,13 @@
     }
   }
 
-  // Whether the state of machine `i` contains every acknowledged command.
+  /// Whether the state of machine `i` contains every acknowledged command.
   bool HasAllAcknowledged(std::size_t i) const {
     const std::set<std::string> applied(machines_[i].applied.begin(), machines_[i].applied.end());
     return std::includes(applied.begin(), applied.end(), acknowledged_.begin(), acknowledged_.end());
   }
 
-  // Whether there is a leader whose group has all its voters, none of them a lost disk.
+  /// Whether there is a leader whose group has all its voters, none of them a lost disk.
   bool HasFullMembership() const {
     const auto leader = Leader();
     if (!leader) return false;
@@ -167,7 +181,7 @@
            });
   }
 
-  // One line a machine, for messages of failed tests and the digest.
+  /// One line a machine, for messages of failed tests and the digest.
   std::string Describe() const {
     std::string out;
     for (const Machine& machine : machines_) {
@@ -184,10 +198,10 @@
 
  private:
   struct InFlightMessage {
-    Micros at = 0;
+    Micros arrives_at = 0;
     std::size_t from = 0;
     std::size_t to = 0;
-    Message message;
+    Message content;
   };
 
   std::string NewDiskId() { return "disk/" + std::to_string(++disks_created_); }
@@ -271,19 +285,21 @@
   void Deliver() {
     std::vector<InFlightMessage> due;
     std::vector<InFlightMessage> later;
-    for (InFlightMessage& flight : in_flight_) (flight.at <= now_ ? due : later).push_back(std::move(flight));
+    for (InFlightMessage& message : in_flight_)
+      (message.arrives_at <= now_ ? due : later).push_back(std::move(message));
     in_flight_ = std::move(later);
-    std::stable_sort(due.begin(), due.end(),
-                     [](const InFlightMessage& a, const InFlightMessage& b) { return a.at < b.at; });
-    for (const InFlightMessage& flight : due) {
-      if (blocked_links_.count({flight.from, flight.to}) > 0 || !IsRunning(flight.to)) continue;
-      if (machines_[flight.to].frozen_until > now_) {
-        in_flight_.push_back(flight);
-        in_flight_.back().at = machines_[flight.to].frozen_until;
+    std::stable_sort(due.begin(), due.end(), [](const InFlightMessage& a, const InFlightMessage& b) {
+      return a.arrives_at < b.arrives_at;
+    });
+    for (const InFlightMessage& message : due) {
+      if (blocked_links_.count({message.from, message.to}) > 0 || !IsRunning(message.to)) continue;
+      if (machines_[message.to].frozen_until > now_) {
+        in_flight_.push_back(message);
+        in_flight_.back().arrives_at = machines_[message.to].frozen_until;
         continue;
       }
-      machines_[flight.to].replica->Step(flight.message, now_);
-      ApplyEffects(flight.to);
+      machines_[message.to].replica->Step(message.content, now_);
+      ApplyEffects(message.to);
     }
   }
 
--- a/tests/testing/exploration.hpp
+++ b/tests/testing/exploration.hpp
@@ -73,8 +73,11 @@
     return true;
   }
 
+  /// Number of distinct states visited.
   std::size_t states() const { return visited_.size(); }
+  /// The most entries committed in one state.
   std::size_t max_committed() const { return max_committed_; }
+  /// The most leaders, of successive terms, on the way to one state.
   int max_leaders() const { return max_leaders_; }
   const std::vector<std::string>& violations() const { return violations_; }
   /// May change each delivered message, to see whether the checks notice.
@@ -104,7 +107,7 @@
 
   static ReplicaId BootstrapId(std::size_t i) { return "f" + std::to_string(i); }
 
-  // ---- Events ----
+  // ---- Events: each visits the states that follow ----
 
   void Expand(const State& state) {
     for (const auto& [link, sent] : state.network) DeliverMessage(state, link, sent.message);
