--- a/src/control/consensus/encoding.hpp
+++ b/src/control/consensus/encoding.hpp
@@ -21,8 +21,11 @@
 /// `message` is then unspecified.
 bool FromWire(const wire::ConsensusMessage& in, Message& message);
 
+/// The bytes for the wire.
 std::string Encode(const Message& message);
+/// The bytes for the wire and the disk.
 std::string Encode(const Entry& entry);
+/// The bytes for the disk.
 std::string Encode(const Snapshot& snapshot);
 
 /// Empty where the bytes do not parse, or FromWire refuses them.
--- a/src/control/consensus/log.hpp
+++ b/src/control/consensus/log.hpp
@@ -18,7 +18,9 @@
   /// `entries` are those from `base` + 1 on; `base_term` is the term of the entry at `base`.
   Log(Index base, Term base_term, std::vector<Entry> entries);
 
+  /// The index before the first entry held.
   Index base() const { return base_; }
+  /// The index of the last entry; base() if none is held.
   Index last_index() const { return base_ + entries_.size(); }
   /// Of all entries held, in order.
   const std::deque<Entry>& entries() const { return entries_; }
@@ -27,6 +29,7 @@
   /// The term of the entry at `index`, also at base(); 0 if it is not held.
   Term TermAt(Index index) const;
 
+  /// Adds an entry at last_index() + 1.
   void Append(Entry entry) { entries_.push_back(std::move(entry)); }
   /// Drops the entries from `index` on, which must be above base().
   void TruncateFrom(Index index);
--- a/src/control/consensus/replica.hpp
+++ b/src/control/consensus/replica.hpp
@@ -81,9 +81,11 @@
 
   // ---- Leadership and lease ----
 
+  /// Whether this replica leads in its term; another may lead in a later one unless HasLease().
   bool leader() const { return role_ == Role::kLeader; }
   /// The leader that this replica follows or is; its address is empty where the members do not name it.
   const std::optional<Member>& known_leader() const { return known_leader_; }
+  /// The current term.
   Term term() const { return hard_.term; }
   /// Whether this replica leads and a quorum has acknowledged it so lately that no other can have been
   /// elected (Ongaro 2014, 6.4.1).
@@ -98,7 +100,9 @@
 
   // ---- Group ----
 
+  /// The id of this replica.
   const ReplicaId& id() const { return id_; }
+  /// The voters by the latest membership change in the log, committed or not.
   const Members& members() const { return members_; }
   /// Whether `id` has a vote, as far as this replica knows.
   bool IsMember(const ReplicaId& id) const;
