--- a/src/control/placement/placement_state.cpp
+++ b/src/control/placement/placement_state.cpp
@@ -47,7 +47,7 @@
 
 void PlacementState::ReconcileServer(const InstanceTable::Record& record, Micros now) {
   const auto [it, added] = servers_.try_emplace(record.id);
-  ServerState& server = it->second;
+  ServerPlacement& server = it->second;
   if (added) server.next_report_at = now;
   server.service = record.instance.backend;
   server.address = record.instance.address;
@@ -63,7 +63,7 @@
 bool PlacementState::IsLoading(const std::string& service, const std::string& model,
                                const std::string& adapter) const {
   return std::any_of(servers_.begin(), servers_.end(), [&](const auto& entry) {
-    const ServerState& server = entry.second;
+    const ServerPlacement& server = entry.second;
     return server.in_flight && server.service == service && server.in_flight->Loads(model, adapter);
   });
 }
@@ -107,14 +107,14 @@
 
 // ---- Orders ----
 
-void PlacementState::StartOrder(ServerState& server, InFlightOrder order, Micros send_at, Micros now) {
+void PlacementState::StartOrder(ServerPlacement& server, InFlightOrder order, Micros send_at, Micros now) {
   order.next_send_at = send_at;
   order.expires_at = now + kOrderTimeout;
   server.in_flight = std::move(order);
 }
 
 void PlacementState::StartLoad(const std::string& instance, const LoadRequest& load, Micros now) {
-  ServerState& server = servers_.at(instance);
+  ServerPlacement& server = servers_.at(instance);
   InFlightOrder order;
   order.call = {Kind::kLoad, instance, server.address, load.model, load.adapter, {}};
   order.expected_s = load.expected_s;
@@ -123,7 +123,7 @@
 
 void PlacementState::StartUnload(const std::string& instance, const std::string& model,
                                  const std::string& adapter, const LoadRequest& next, Micros now) {
-  ServerState& server = servers_.at(instance);
+  ServerPlacement& server = servers_.at(instance);
   server.SetHeld(model, adapter, false);
   InFlightOrder order;
   order.call = {Kind::kUnload, instance, server.address, model, adapter, {}};
@@ -135,7 +135,7 @@
                                                            Micros now) {
   const auto it = servers_.find(call.instance);
   if (it == servers_.end() || !it->second.in_flight) return std::nullopt;
-  ServerState& server = it->second;
+  ServerPlacement& server = it->second;
   InFlightOrder& order = *server.in_flight;
   if (order.call.model != call.model || order.call.adapter != call.adapter || order.call.kind != call.kind)
     return std::nullopt;
@@ -151,7 +151,7 @@
   return std::nullopt;
 }
 
-std::optional<LoadedModel> PlacementState::OnOrderDone(ServerState& server, Micros now) {
+std::optional<LoadedModel> PlacementState::OnOrderDone(ServerPlacement& server, Micros now) {
   const InFlightOrder done = *std::exchange(server.in_flight, std::nullopt);
   const PlacementCall& call = done.call;
   const bool load = call.kind == Kind::kLoad;
@@ -162,7 +162,7 @@
   return std::nullopt;
 }
 
-void PlacementState::OnOrderInProgress(ServerState& server, Micros now) {
+void PlacementState::OnOrderInProgress(ServerPlacement& server, Micros now) {
   InFlightOrder& order = *server.in_flight;
   if (!order.accepted && server.revision) ++*server.revision;
   order.accepted = true;
@@ -179,7 +179,7 @@
                               Micros now) {
   const auto it = servers_.find(instance);
   if (it == servers_.end() || it->second.in_flight) return;
-  ServerState& server = it->second;
+  ServerPlacement& server = it->second;
   if (!report || report->busy) {
     server.next_report_at = now + (report ? kReportInterval : kUnresponsiveReportInterval);
     return;
@@ -188,7 +188,7 @@
   server.models = report->models;
 }
 
-void PlacementState::RequestReport(ServerState& server, Micros at) {
+void PlacementState::RequestReport(ServerPlacement& server, Micros at) {
   server.in_flight.reset();
   server.revision.reset();
   server.next_report_at = at;
--- a/src/control/placement/placement_state.hpp
+++ b/src/control/placement/placement_state.hpp
@@ -15,7 +15,7 @@
 #include "control/configuration/reader.hpp"
 #include "control/instances/instance_table.hpp"
 #include "control/placement/placement_call.hpp"
-#include "control/placement/server_state.hpp"
+#include "control/placement/server_placement.hpp"
 
 namespace violetwing {
 
@@ -26,8 +26,8 @@
   std::string adapter;  // empty for the model itself
 };
 
-/// The state table of the placer: one `ServerState` per ready server of the services that run models. At most
-/// one order is in flight per server.
+/// The state table of the placer: one `ServerPlacement` per ready server of the services that run models. At
+/// most one order is in flight per server.
 class PlacementState {
  public:
   /// Forgets all servers, as a new placer does.
@@ -57,7 +57,7 @@
   void OnReport(const std::string& instance, const std::optional<ServerReport>& report, Micros now);
 
   /// By instance id.
-  const std::map<std::string, ServerState>& servers() const { return servers_; }
+  const std::map<std::string, ServerPlacement>& servers() const { return servers_; }
   /// Whether an order in flight loads these weights on a server of the service.
   bool IsLoading(const std::string& service, const std::string& model, const std::string& adapter) const;
   /// Number of models (not adapters) being loaded, including loads that follow an unload.
@@ -65,12 +65,12 @@
 
  private:
   void ReconcileServer(const InstanceTable::Record& record, Micros now);
-  std::optional<LoadedModel> OnOrderDone(ServerState& server, Micros now);
-  static void StartOrder(ServerState& server, InFlightOrder order, Micros send_at, Micros now);
-  static void OnOrderInProgress(ServerState& server, Micros now);
-  static void RequestReport(ServerState& server, Micros at);
+  std::optional<LoadedModel> OnOrderDone(ServerPlacement& server, Micros now);
+  static void StartOrder(ServerPlacement& server, InFlightOrder order, Micros send_at, Micros now);
+  static void OnOrderInProgress(ServerPlacement& server, Micros now);
+  static void RequestReport(ServerPlacement& server, Micros at);
 
-  std::map<std::string, ServerState> servers_;  // by instance id
+  std::map<std::string, ServerPlacement> servers_;  // by instance id
 };
 
 }  // namespace violetwing
--- a/src/control/placement/server_state.cpp
+++ b/src/control/placement/server_placement.cpp
@@ -1,4 +1,4 @@
-#include "control/placement/server_state.hpp"
+#include "control/placement/server_placement.hpp"
 
 #include <algorithm>
 
@@ -21,22 +21,22 @@
   return (call.kind == Kind::kLoad && call.adapter.empty()) || (next_load && next_load->adapter.empty());
 }
 
-bool ServerState::Holds(const std::string& model) const {
+bool ServerPlacement::Holds(const std::string& model) const {
   return std::any_of(models.begin(), models.end(), [&](const HeldModel& held) { return held.name == model; });
 }
 
-bool ServerState::JustLoaded(const std::string& model, Micros now) const {
+bool ServerPlacement::JustLoaded(const std::string& model, Micros now) const {
   const auto it = loaded_at.find(model);
   return it != loaded_at.end() && now - it->second < kServeWaitingTime;
 }
 
-std::size_t ServerState::AdapterCount() const {
+std::size_t ServerPlacement::AdapterCount() const {
   std::size_t count = 0;
   for (const HeldModel& held : models) count += held.adapters.size();
   return count;
 }
 
-void ServerState::SetHeld(const std::string& model, const std::string& adapter, bool held) {
+void ServerPlacement::SetHeld(const std::string& model, const std::string& adapter, bool held) {
   if (adapter.empty()) {
     std::erase_if(models, [&](const HeldModel& one) { return one.name == model; });
     if (held) models.push_back({model, 0, {}});
--- a/src/control/placement/server_state.hpp
+++ b/src/control/placement/server_placement.hpp
@@ -1,7 +1,7 @@
 // What the placer knows of one model server: the models that it holds and the order that it carries out.
 // A core: it holds no clock, socket, file or thread.
-#ifndef VIOLETWING_CONTROL_PLACEMENT_SERVER_STATE_HPP_
-#define VIOLETWING_CONTROL_PLACEMENT_SERVER_STATE_HPP_
+#ifndef VIOLETWING_CONTROL_PLACEMENT_SERVER_PLACEMENT_HPP_
+#define VIOLETWING_CONTROL_PLACEMENT_SERVER_PLACEMENT_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -42,7 +42,7 @@
 
 /// One server. `revision` is known, and `models` certain, from a report or an answered order on; until then
 /// `models` is what the server's heartbeats said.
-struct ServerState {
+struct ServerPlacement {
   std::string service;
   std::string address;                      // host:port
   std::optional<std::int64_t> revision;     // orders accepted; empty until the server has reported
@@ -65,4 +65,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_PLACEMENT_SERVER_STATE_HPP_
+#endif  // VIOLETWING_CONTROL_PLACEMENT_SERVER_PLACEMENT_HPP_
--- a/src/control/placement/service_view.cpp
+++ b/src/control/placement/service_view.cpp
@@ -54,7 +54,7 @@
   }
 }
 
-ServiceView::Server ServiceView::MakeServer(const std::string& id, const ServerState& state) {
+ServiceView::Server ServiceView::MakeServer(const std::string& id, const ServerPlacement& state) {
   Server server;
   server.id = &id;
   server.state = &state;
--- a/src/control/placement/service_view.hpp
+++ b/src/control/placement/service_view.hpp
@@ -32,7 +32,7 @@
   /// A server of the service.
   struct Server {
     const std::string* id = nullptr;
-    const ServerState* state = nullptr;
+    const ServerPlacement* state = nullptr;
     std::vector<std::size_t> models;  // held, as indexes into `models()`
     double free_mb = 0;               // memory for weights that is left
   };
@@ -78,7 +78,7 @@
  private:
   void AddModels(const DemandTracker& demand);
   void AddServers(const PlacementState& state);
-  Server MakeServer(const std::string& id, const ServerState& state);
+  Server MakeServer(const std::string& id, const ServerPlacement& state);
   void CountLoadingReplicas(const InFlightOrder& order);
   void CountReplica(const std::string& name);
   void SetTargetReplicas();
--- a/tests/control/storage/store_test.cpp
+++ b/tests/control/storage/store_test.cpp
@@ -207,7 +207,7 @@
   CHECK(envelope.request_id == "change/1");
   const auto change = std::get<configuration::Change>(DecodeConfigurationCommand(envelope.command).value());
   CHECK(change.patch);
-  CHECK(change.base == 0);
+  CHECK(change.base_version == 0);
   CHECK(change.body == "{\"a\":1}");
   const consensus::Members members{{"founder/10.0.0.1:100", "10.0.0.1:100"}, {"disk/b", "10.0.0.2:100"}};
   CHECK(first.entries[1].kind == EntryKind::kMembers);
