--- a/src/dataplane/control_client/system_view.cpp
+++ b/src/dataplane/control_client/system_view.cpp
@@ -15,33 +15,33 @@
   request.incarnation = source_;
   request.configuration_version = version();
   request.accepts_patches = takes_patches_;
-  request.version_vector = known_;
+  request.version_vector = version_vector_;
   request.wait_ms = wait_ms;
   request.demand = std::move(demand);
   return request;
 }
 
-bool SystemView::Take(const WatchReply& reply) {
-  const bool moved = reply.window_position != number_ || reply.sidecar_count != sidecars_;
-  const bool configured = TakeConfiguration(reply);
-  const bool listed = TakeInstances(reply);
+bool SystemView::Apply(const WatchReply& reply) {
+  const bool renumbered = reply.window_position != number_ || reply.sidecar_count != sidecars_;
+  const bool configuration_changed = ApplyConfiguration(reply);
+  const bool instances_changed = ApplyInstances(reply);
   source_ = reply.incarnation;
   controls_ = reply.control_nodes;
-  const bool met = reply.neighbors.hash != neighbors_.hash;
-  if (met) neighbors_ = reply.neighbors;
+  const bool neighbors_changed = reply.neighbors.hash != neighbors_.hash;
+  if (neighbors_changed) neighbors_ = reply.neighbors;
   number_ = reply.window_position;
   sidecars_ = reply.sidecar_count;
-  return moved || configured || listed || met;
+  return renumbered || configuration_changed || instances_changed || neighbors_changed;
 }
 
-bool SystemView::TakeConfiguration(const WatchReply& reply) {
+bool SystemView::ApplyConfiguration(const WatchReply& reply) {
   if (reply.configuration_version <= version()) return false;
   if (reply.configuration_document.empty() && reply.configuration_patches.empty()) return false;
   std::optional<configuration::ReadResult> read = ReadConfiguration(reply);
   takes_patches_ = read && read->configuration != nullptr;  // else the full document is requested next
   if (!takes_patches_) {
-    spdlog::error("version {} cannot be read: {}", reply.configuration_version,
-                  read ? ToText(read->findings) : "its patches do not fit the version held");
+    spdlog::error("configuration rejected version={} findings={}", reply.configuration_version,
+                  read ? ToText(read->findings) : "patches do not apply to the current version");
     return false;
   }
   configuration_ = std::move(read->configuration);
@@ -55,7 +55,7 @@
 // Empty if the patches do not lead from the current version to the reply's.
 std::optional<configuration::ReadResult> SystemView::ReadConfiguration(const WatchReply& reply) const {
   if (reply.configuration_patches.empty()) return configuration::Read(reply.configuration_document);
-  if (message_ == nullptr) return std::nullopt;
+  if (configuration_message_ == nullptr) return std::nullopt;
   std::vector<nlohmann::ordered_json> patches;
   for (const std::string& patch : reply.configuration_patches)
     patches.push_back(nlohmann::ordered_json::parse(patch, nullptr, /*allow_exceptions=*/false));
@@ -66,14 +66,14 @@
   return fits ? std::move(read) : std::nullopt;
 }
 
-bool SystemView::TakeInstances(const WatchReply& reply) {
+bool SystemView::ApplyInstances(const WatchReply& reply) {
   if (reply.complete) {
-    Replace(reply);
+    ReplaceInstances(reply);
     return true;
   }
-  for (const Instance& instance : reply.changed_instances) Merge(instance);
+  for (const Instance& instance : reply.changed_instances) MergeInstance(instance);
   for (const auto& [origin, counter] : reply.version_vector)
-    known_[origin] = std::max(known_[origin], counter);
+    version_vector_[origin] = std::max(version_vector_[origin], counter);
   return !reply.changed_instances.empty();
 }
 
@@ -83,12 +83,12 @@
   const std::map<std::string, Instance> before = std::exchange(instances_, {});
   for (const Instance& instance : reply.changed_instances) {
     const auto known = before.find(instance.id);
-    const bool leaves = known != before.end() && IsLeaving(known->second.phase);
-    if (leaves) instances_[instance.id] = known->second;
-    Merge(instance);
+    const bool draining = known != before.end() && IsLeaving(known->second.phase);
+    if (draining) instances_[instance.id] = known->second;
+    MergeInstance(instance);
   }
-  // Lives of control processes that are over leave nothing behind.
-  known_ = reply.version_vector;
+  // Incarnations of control processes that have ended are forgotten.
+  version_vector_ = reply.version_vector;
 }
 
 void SystemView::MergeInstance(const Instance& instance) {
--- a/src/dataplane/load_balancing/load_balancer.cpp
+++ b/src/dataplane/load_balancing/load_balancer.cpp
@@ -135,7 +135,7 @@
 
 double LoadBalancer::Cost(const Instance& instance, const RequestAttributes& attributes, bool has_affinity,
                           Micros now) {
-  const ServerState& server = servers_[instance.id];
+  const UpstreamServerState& server = servers_[instance.id];
   CostFactors factors;
   factors.has_affinity = has_affinity;
   factors.has_connection = !has_connection_ || has_connection_(instance.id);
@@ -149,7 +149,7 @@
 // ---- Events of attempts ----
 
 void LoadBalancer::OnSent(const std::string& id, RequestAttributes& attributes, Micros now) {
-  ServerState& server = servers_[id];
+  UpstreamServerState& server = servers_[id];
   server.OnSent(now);
   attributes.sent_at = now;
   if (attributes.prompt_parts == nullptr) return;
--- a/src/dataplane/load_balancing/load_balancer.hpp
+++ b/src/dataplane/load_balancing/load_balancer.hpp
@@ -21,7 +21,7 @@
 #include "dataplane/load_balancing/prefill_queue.hpp"
 #include "dataplane/load_balancing/request_attributes.hpp"
 #include "dataplane/load_balancing/server_cost.hpp"
-#include "dataplane/load_balancing/server_state.hpp"
+#include "dataplane/load_balancing/upstream_server_state.hpp"
 #include "messages/load.hpp"
 
 namespace violetwing {
@@ -94,7 +94,7 @@
   Random random_;
   std::string zone_;
   std::function<bool(const std::string& id)> has_connection_;
-  std::map<std::string, ServerState> servers_;  // by instance id
+  std::map<std::string, UpstreamServerState> servers_;  // by instance id
   PrefillQueue prefill_queue_;
   PrefillEstimate prefill_estimate_;
   double sidecars_per_report_ = 1;
--- a/src/dataplane/load_balancing/server_cost.cpp
+++ b/src/dataplane/load_balancing/server_cost.cpp
@@ -23,7 +23,7 @@
 // Slots of a server at which a request in flight weighs 1; at smaller servers it weighs more.
 constexpr int kReferenceCapacity = 8;
 
-double ExpectedCachedTokens(const ServerState& server, const RequestAttributes& attributes,
+double ExpectedCachedTokens(const UpstreamServerState& server, const RequestAttributes& attributes,
                             bool has_affinity) {
   const double cached = server.prefix_cache().CachedTokens(attributes.WeightsKey(), *attributes.prompt_parts);
   if (!has_affinity) return cached;
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-double PrefillCostMs(const ServerState& server, const RequestAttributes& attributes,
+double PrefillCostMs(const UpstreamServerState& server, const RequestAttributes& attributes,
                      const CostFactors& factors, Micros now) {
   const double cached = ExpectedCachedTokens(server, attributes, factors.has_affinity);
   double cost = factors.queued_prefill_ms + (attributes.prompt_tokens - cached) * factors.ms_per_token;
@@ -46,7 +46,7 @@
   return cost;
 }
 
-double InFlightCost(const ServerState& server, const Instance& instance, const CostFactors& factors,
+double InFlightCost(const UpstreamServerState& server, const Instance& instance, const CostFactors& factors,
                     Micros now) {
   double cost = server.in_flight() + server.DecayedLoadOfOthers(now);
   const int capacity = std::max(1, std::min(instance.capacity, kReferenceCapacity));
--- a/src/dataplane/load_balancing/server_cost.hpp
+++ b/src/dataplane/load_balancing/server_cost.hpp
@@ -5,7 +5,7 @@
 
 #include "common/time.hpp"
 #include "dataplane/load_balancing/request_attributes.hpp"
-#include "dataplane/load_balancing/server_state.hpp"
+#include "dataplane/load_balancing/upstream_server_state.hpp"
 #include "messages/instances.hpp"
 
 namespace violetwing {
@@ -21,11 +21,11 @@
 
 /// Cost in ms of a request that gives its prompt parts: the expected time until the server has prefilled the
 /// prompt, plus penalties. Requires `attributes.HasPromptParts()`.
-double PrefillCostMs(const ServerState& server, const RequestAttributes& attributes,
+double PrefillCostMs(const UpstreamServerState& server, const RequestAttributes& attributes,
                      const CostFactors& factors, Micros now);
 
 /// Cost in requests in flight, scaled to the server's capacity, of a request without prompt parts.
-double InFlightCost(const ServerState& server, const Instance& instance, const CostFactors& factors,
+double InFlightCost(const UpstreamServerState& server, const Instance& instance, const CostFactors& factors,
                     Micros now);
 
 }  // namespace violetwing
--- a/src/dataplane/load_balancing/server_state.cpp
+++ b/src/dataplane/load_balancing/upstream_server_state.cpp
@@ -1,4 +1,4 @@
-#include "dataplane/load_balancing/server_state.hpp"
+#include "dataplane/load_balancing/upstream_server_state.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -13,24 +13,24 @@
 
 }  // namespace
 
-void ServerState::OnSent(Micros now) {
+void UpstreamServerState::OnSent(Micros now) {
   ++in_flight_;
   if (awaiting_first_byte_ == 0) unresponsive_since_ = now;
   ++awaiting_first_byte_;
 }
 
-void ServerState::OnLoadReported(const ServerLoad& load, Micros now) {
+void UpstreamServerState::OnLoadReported(const ServerLoad& load, Micros now) {
   reported_ = load;
   reported_at_ = now;
 }
 
-void ServerState::OnFirstByte(Micros now) {
+void UpstreamServerState::OnFirstByte(Micros now) {
   awaiting_first_byte_ = std::max(0, awaiting_first_byte_ - 1);
   unresponsive_since_ = awaiting_first_byte_ > 0 ? now : 0;
 }
 
-void ServerState::OnEnd(AttemptResult result, const std::string& weights_key, bool first_byte_received,
-                        Micros now) {
+void UpstreamServerState::OnEnd(AttemptResult result, const std::string& weights_key,
+                                bool first_byte_received, Micros now) {
   if (!first_byte_received && awaiting_first_byte_ > 0) {
     --awaiting_first_byte_;
     if (awaiting_first_byte_ == 0) unresponsive_since_ = 0;
@@ -56,26 +56,26 @@
   }
 }
 
-void ServerState::OnFailure(FailureKind kind, Micros now) {
+void UpstreamServerState::OnFailure(FailureKind kind, Micros now) {
   prefix_cache_.Clear();  // the server may have restarted
   outlier_detector_.OnFailure(kind, now);
 }
 
-bool ServerState::IsUsable(const std::string& weights_key, Micros now) const {
+bool UpstreamServerState::IsUsable(const std::string& weights_key, Micros now) const {
   if (outlier_detector_.IsEjected(now)) return false;
   const auto missing = model_missing_until_.find(weights_key);
   return missing == model_missing_until_.end() || now >= missing->second;
 }
 
-bool ServerState::HasNeverLackedModel(const std::string& weights_key) const {
+bool UpstreamServerState::HasNeverLackedModel(const std::string& weights_key) const {
   return model_missing_until_.count(weights_key) == 0;
 }
 
-bool ServerState::IsUnresponsive(Micros now) const {
+bool UpstreamServerState::IsUnresponsive(Micros now) const {
   return unresponsive_since_ > 0 && now - unresponsive_since_ > kUnresponsiveAfter;
 }
 
-double ServerState::Decayed(int reported, Micros now) const {
+double UpstreamServerState::Decayed(int reported, Micros now) const {
   if (reported_at_ == 0 || reported <= 0) return 0;
   return reported * std::exp2(-static_cast<double>(now - reported_at_) / kReportedLoadHalfLifeMicros);
 }
--- a/src/dataplane/load_balancing/server_state.hpp
+++ b/src/dataplane/load_balancing/upstream_server_state.hpp
@@ -1,7 +1,7 @@
 // What a sidecar knows of one server from its own attempts and from the load that the server reports. A core:
 // it holds no clock, socket, file or thread.
-#ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_SERVER_STATE_HPP_
-#define VIOLETWING_DATAPLANE_LOAD_BALANCING_SERVER_STATE_HPP_
+#ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_UPSTREAM_SERVER_STATE_HPP_
+#define VIOLETWING_DATAPLANE_LOAD_BALANCING_UPSTREAM_SERVER_STATE_HPP_
 
 #include <map>
 #include <string>
@@ -21,7 +21,7 @@
 };
 
 /// State of one server. `weights_key` is RequestAttributes::WeightsKey; times are of the steady clock.
-class ServerState {
+class UpstreamServerState {
  public:
   /// An attempt was sent there.
   void OnSent(Micros now);
@@ -74,4 +74,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_DATAPLANE_LOAD_BALANCING_SERVER_STATE_HPP_
+#endif  // VIOLETWING_DATAPLANE_LOAD_BALANCING_UPSTREAM_SERVER_STATE_HPP_
--- a/src/dataplane/routing/upstream_request.hpp
+++ b/src/dataplane/routing/upstream_request.hpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "dataplane/ingress/client_connection.hpp"
-#include "dataplane/load_balancing/server_state.hpp"
+#include "dataplane/load_balancing/upstream_server_state.hpp"
 
 namespace violetwing {
 
--- a/tests/control/configuration/patches_test.cpp
+++ b/tests/control/configuration/patches_test.cpp
@@ -84,22 +84,22 @@
 
 TEST_CASE("A sidecar applies patches to its version, and requests the whole document if they do not fit") {
   SystemView view("edge");
-  CHECK_FALSE(view.NextPull(0, {}).accepts_patches);  // it holds nothing yet
-  CHECK_FALSE(view.Take(ReplyOf(2, "", {PatchDocument(2, 2000)})));
-  REQUIRE(view.Take(ReplyOf(1, Document(1), {})));
-  CHECK(view.NextPull(0, {}).accepts_patches);
-  REQUIRE(view.Take(ReplyOf(3, "", {PatchDocument(2, 2000), PatchDocument(3, 3000)})));
+  CHECK_FALSE(view.NextWatchRequest(0, {}).accepts_patches);  // it holds nothing yet
+  CHECK_FALSE(view.Apply(ReplyOf(2, "", {PatchDocument(2, 2000)})));
+  REQUIRE(view.Apply(ReplyOf(1, Document(1), {})));
+  CHECK(view.NextWatchRequest(0, {}).accepts_patches);
+  REQUIRE(view.Apply(ReplyOf(3, "", {PatchDocument(2, 2000), PatchDocument(3, 3000)})));
   CHECK(view.version() == 3);
   for (const Texts& unfit :
        {Texts{"{"}, Texts{PatchDocument(4, 0)}, Texts{PatchDocument(4, 4000)}, Texts{"[]"}}) {
     CHECK_FALSE(view.Apply(ReplyOf(5, "", unfit)));  // unreadable, invalid, to another version, no patch
     CHECK(view.version() == 3);
-    CHECK_FALSE(view.NextPull(0, {}).accepts_patches);
+    CHECK_FALSE(view.NextWatchRequest(0, {}).accepts_patches);
   }
   REQUIRE(view.Apply(ReplyOf(5, Document(5), {})));
   CHECK(view.version() == 5);
-  CHECK(view.NextPull(0, {}).accepts_patches);
-  CHECK_FALSE(view.Take(ReplyOf(4, "", {PatchDocument(4, 4000)})));  // an answer that comes late
+  CHECK(view.NextWatchRequest(0, {}).accepts_patches);
+  CHECK_FALSE(view.Apply(ReplyOf(4, "", {PatchDocument(4, 4000)})));  // an answer that comes late
   CHECK(view.version() == 5);
 }
 
--- a/tests/testing/virtual_system.hpp
+++ b/tests/testing/virtual_system.hpp
@@ -301,7 +301,7 @@
     sidecar.watch_in_flight = true;
     const std::string to = sidecar.choice->Current(sidecar.view->controls());
     CallInternal("edge-" + std::to_string(i), to, kWatchPath,
-                 Encode(sidecar.view->NextPull(kWatchWaitMs, {})),
+                 Encode(sidecar.view->NextWatchRequest(kWatchWaitMs, {})),
                  [this, i](int status, const std::string& body) { OnWatched(i, status, body); });
   }
 
