--- a/src/control/api/handlers.hpp
+++ b/src/control/api/handlers.hpp
@@ -5,7 +5,7 @@
 
 #include "common/time.hpp"
 #include "control/api/messages.hpp"
-#include "control/control_core.hpp"
+#include "control/core/control_core.hpp"
 
 namespace violetwing {
 
--- a/src/control/control_core.cpp
+++ b/src/control/core/control_core.cpp
@@ -1,4 +1,4 @@
-#include "control/control_core.hpp"
+#include "control/core/control_core.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/control/control_core.hpp
+++ b/src/control/core/control_core.hpp
@@ -2,8 +2,8 @@
 // changes, exchanges state with the other control processes, answers the sidecars' watches and places models.
 // A core: it holds no clock, socket, file or thread; what has to go out leaves through `Outputs`, and the
 // results return by calls.
-#ifndef VIOLETWING_CONTROL_CONTROL_CORE_HPP_
-#define VIOLETWING_CONTROL_CONTROL_CORE_HPP_
+#ifndef VIOLETWING_CONTROL_CORE_CONTROL_CORE_HPP_
+#define VIOLETWING_CONTROL_CORE_CONTROL_CORE_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -13,13 +13,13 @@
 
 #include "common/node_settings.hpp"
 #include "common/time.hpp"
+#include "control/core/quorum_contact.hpp"
+#include "control/core/watch_registry.hpp"
 #include "control/gossip/gossip.hpp"
 #include "control/gossip/sidecar_registry.hpp"
 #include "control/instances/instance_table.hpp"
 #include "control/placement/placer_role.hpp"
-#include "control/quorum_contact.hpp"
 #include "control/replication/shards.hpp"
-#include "control/watch_registry.hpp"
 #include "messages/watch.hpp"
 
 namespace violetwing {
@@ -137,4 +137,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_CONTROL_CORE_HPP_
+#endif  // VIOLETWING_CONTROL_CORE_CONTROL_CORE_HPP_
--- a/src/control/quorum_contact.hpp
+++ b/src/control/core/quorum_contact.hpp
@@ -1,6 +1,6 @@
 // How long a control process has been in contact with a quorum, or without.
-#ifndef VIOLETWING_CONTROL_QUORUM_CONTACT_HPP_
-#define VIOLETWING_CONTROL_QUORUM_CONTACT_HPP_
+#ifndef VIOLETWING_CONTROL_CORE_QUORUM_CONTACT_HPP_
+#define VIOLETWING_CONTROL_CORE_QUORUM_CONTACT_HPP_
 
 #include "common/time.hpp"
 
@@ -36,4 +36,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_QUORUM_CONTACT_HPP_
+#endif  // VIOLETWING_CONTROL_CORE_QUORUM_CONTACT_HPP_
--- a/src/control/watch_registry.cpp
+++ b/src/control/core/watch_registry.cpp
@@ -1,4 +1,4 @@
-#include "control/watch_registry.hpp"
+#include "control/core/watch_registry.hpp"
 
 #include <algorithm>
 #include <iterator>
--- a/src/control/watch_registry.hpp
+++ b/src/control/core/watch_registry.hpp
@@ -1,8 +1,8 @@
 // The watches (long polls) of sidecars at one control process: which are pending, when each is answered, and
 // with what. Answers are rate limited, because each costs the sidecar a call and a new routing directory. A
 // core: it holds no clock, socket, file or thread.
-#ifndef VIOLETWING_CONTROL_WATCH_REGISTRY_HPP_
-#define VIOLETWING_CONTROL_WATCH_REGISTRY_HPP_
+#ifndef VIOLETWING_CONTROL_CORE_WATCH_REGISTRY_HPP_
+#define VIOLETWING_CONTROL_CORE_WATCH_REGISTRY_HPP_
 
 #include <deque>
 #include <functional>
@@ -101,4 +101,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_WATCH_REGISTRY_HPP_
+#endif  // VIOLETWING_CONTROL_CORE_WATCH_REGISTRY_HPP_
--- a/src/control/gossip/exchange_message.hpp
+++ b/src/control/gossip/exchange_message.hpp
@@ -32,13 +32,6 @@
   std::string command;
 };
 
-/// The last heartbeat of a server at one control process.
-struct LastSeen {
-  std::string id;             ///< of the instance
-  std::int64_t sequence = 0;  ///< of the heartbeat
-  std::int64_t age_ms = 0;    ///< time since the heartbeat
-};
-
 /// The last watch of a sidecar at one control process.
 struct SidecarLastSeen {
   std::string id;           ///< name of the sidecar
--- a/src/control/instances/instance_table.hpp
+++ b/src/control/instances/instance_table.hpp
@@ -18,7 +18,6 @@
 #include <vector>
 
 #include "common/time.hpp"
-#include "control/gossip/exchange_message.hpp"
 #include "messages/instances.hpp"
 
 namespace violetwing {
--- a/src/control/control_service.cpp
+++ b/src/control/service/control_service.cpp
@@ -1,4 +1,4 @@
-#include "control/control_service.hpp"
+#include "control/service/control_service.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/control/control_service.hpp
+++ b/src/control/service/control_service.hpp
@@ -1,8 +1,8 @@
 // The network and disk side of a control process: carries the calls of servers, the operator, the sidecars
 // and the other control processes to the core, and the core's decisions to the network and the disk. One
 // event loop; the store has a thread of its own.
-#ifndef VIOLETWING_CONTROL_CONTROL_SERVICE_HPP_
-#define VIOLETWING_CONTROL_CONTROL_SERVICE_HPP_
+#ifndef VIOLETWING_CONTROL_SERVICE_CONTROL_SERVICE_HPP_
+#define VIOLETWING_CONTROL_SERVICE_CONTROL_SERVICE_HPP_
 
 #include <event2/event.h>
 
@@ -12,9 +12,9 @@
 
 #include "common/node_settings.hpp"
 #include "control/api/http.hpp"
-#include "control/control_core.hpp"
+#include "control/core/control_core.hpp"
+#include "control/service/wake_pipe.hpp"
 #include "control/storage/store.hpp"
-#include "control/wake_pipe.hpp"
 
 namespace violetwing {
 
@@ -72,4 +72,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_CONTROL_SERVICE_HPP_
+#endif  // VIOLETWING_CONTROL_SERVICE_CONTROL_SERVICE_HPP_
--- a/src/control/wake_pipe.hpp
+++ b/src/control/service/wake_pipe.hpp
@@ -1,6 +1,6 @@
 // A pipe by which another thread wakes an event loop (the self-pipe technique).
-#ifndef VIOLETWING_CONTROL_WAKE_PIPE_HPP_
-#define VIOLETWING_CONTROL_WAKE_PIPE_HPP_
+#ifndef VIOLETWING_CONTROL_SERVICE_WAKE_PIPE_HPP_
+#define VIOLETWING_CONTROL_SERVICE_WAKE_PIPE_HPP_
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -51,4 +51,4 @@
 
 }  // namespace violetwing
 
-#endif  // VIOLETWING_CONTROL_WAKE_PIPE_HPP_
+#endif  // VIOLETWING_CONTROL_SERVICE_WAKE_PIPE_HPP_
--- a/src/messages/instances.hpp
+++ b/src/messages/instances.hpp
@@ -58,6 +58,13 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(Instance, id, backend, address, zone, capacity, phase, models,
                                                 sequence, origin, counter)
 
+/// The last heartbeat of a server at one control process.
+struct LastSeen {
+  std::string id;             ///< of the instance
+  std::int64_t sequence = 0;  ///< of the heartbeat
+  std::int64_t age_ms = 0;    ///< time since the heartbeat
+};
+
 /// For each incarnation of a control process the number of its last change that is known.
 using VersionVector = std::map<std::string, std::uint64_t>;
 
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -16,7 +16,7 @@
 #include <string>
 
 #include "common/node_settings.hpp"
-#include "control/control_service.hpp"
+#include "control/service/control_service.hpp"
 #include "dataplane/edge_service.hpp"
 
 namespace {
--- a/tests/testing/virtual_system.hpp
+++ b/tests/testing/virtual_system.hpp
@@ -19,7 +19,7 @@
 #include "common/random.hpp"
 #include "common/time.hpp"
 #include "control/api/handlers.hpp"
-#include "control/control_core.hpp"
+#include "control/core/control_core.hpp"
 #include "dataplane/control_client/control_process_selector.hpp"
 #include "dataplane/control_client/system_view.hpp"
 #include "testing/virtual_disk.hpp"
