--- a/src/control/core/control_core.cpp
+++ b/src/control/core/control_core.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "control/replication/bootstrap.hpp"
+
 namespace violetwing {
 namespace {
 
@@ -21,15 +23,15 @@
 // and calls wait for its end.
 constexpr Micros kElectionGrace = 1'500'000;
 
-// The first disks have names that all can tell from the seeds.
-consensus::Members Founders(const NodeSettings& settings, const std::string& disk) {
-  consensus::Members founders;
-  if (!IsFounder(disk)) return founders;
+// The ids of the first replicas are derived from the seeds.
+consensus::Members BootstrapVoters(const NodeSettings& settings, const consensus::ReplicaId& id) {
+  consensus::Members voters;
+  if (!IsBootstrapReplica(id)) return voters;
   for (const std::string& seed : settings.seeds) {
     const std::string address = settings.InternalAddressOf(seed);
-    founders.push_back({FounderDisk(address), address});
+    voters.push_back({BootstrapReplicaId(address), address});
   }
-  return founders;
+  return voters;
 }
 
 }  // namespace
@@ -44,8 +46,8 @@
       placer_(settings.lease_ms * kMicrosPerMs, {outputs_.order, outputs_.ask_report}),
       gossip_({settings.node_name, settings.zone, settings.InternalAddress(), settings.control_plane},
               GossipOutputs()),
-      shards_(stored, Founders(settings, stored.disk), incarnation_, ShardOutputs(), now),
-      member_policy_(consensus::MakeMemberPolicy(
+      shards_(stored, BootstrapVoters(settings, stored.replica_id), incarnation_, ShardOutputs(), now),
+      member_policy_(consensus::MakeMembershipPolicy(
           static_cast<std::size_t>(std::max(kMinReplicas, 2 * settings.tolerated_nodes + 1)),
           settings.catch_up_ms * kMicrosPerMs)),
       quorum_contact_(now),
@@ -57,9 +59,9 @@
   Gossip::Outputs outputs;
   outputs.fill_request = [this](ExchangeRequest& request, const VersionVector* peer_versions) {
     request.incarnation = incarnation_;
-    request.disk = shards_.disk();
+    request.disk = shards_.replica_id();
     request.version_vector = table_.version_vector();
-    request.shards_to_join = shards_.Joins(now_);
+    request.shards_to_join = shards_.ShardsToJoin(now_);
     if (peer_versions != nullptr) request.changed_instances = table_.ChangedSince(*peer_versions);
   };
   outputs.exchange = outputs_.exchange;
@@ -79,7 +81,9 @@
     watches_.OnUpdate();
     if (shard == kConfigurationShard) AnswerWatches(WatchRegistry::Urgency::kImmediate);
   };
-  outputs.left = [this](const std::string& id, Phase phase) { table_.ApplyDeregistration(id, phase, now_); };
+  outputs.deregistered = [this](const std::string& id, Phase phase) {
+    table_.ApplyDeregistration(id, phase, now_);
+  };
   return outputs;
 }
 
@@ -117,7 +121,7 @@
 
 void ControlCore::OnWriteDurable(std::uint64_t token, Micros now) {
   now_ = now;
-  shards_.Written(token);
+  shards_.OnWriteDurable(token);
   Flush();
 }
 
@@ -146,22 +150,25 @@
 void ControlCore::SubmitDeregistration(const std::string& service, const std::string& id, Phase phase,
                                        const AcceptanceCallback& done) {
   if (IsIsolated()) return done(Acceptance::kUnavailable);
-  shards_.Leave(service, id, phase, now_,
-                [done](bool taken) { done(taken ? Acceptance::kAccepted : Acceptance::kUnavailable); });
+  shards_.Deregister(service, id, phase, now_, [done](const Result<void>& committed) {
+    done(committed ? Acceptance::kAccepted : Acceptance::kUnavailable);
+  });
   Flush();
 }
 
 void ControlCore::Change(const configuration::Change& change, Micros now, const ChangeCallback& done) {
   now_ = now;
   if (IsIsolated()) return done(std::nullopt);
-  shards_.Change(change, now, done);
+  shards_.SubmitChange(change, now, [done](const Result<configuration::ChangeOutcome>& outcome) {
+    done(outcome ? std::optional(outcome.value()) : std::nullopt);
+  });
   Flush();
 }
 
 void ControlCore::ReadConfiguration(Micros now, const ReadCallback& done) {
   now_ = now;
   if (IsIsolated()) return done(std::nullopt);
-  shards_.Read(now, [this, done](bool current) {
+  shards_.AwaitReadBarrier(now, [this, done](const Result<void>& current) {
     if (!current) return done(std::nullopt);
     done(ConfigurationRead{configuration().version(), configuration().document()});
   });
@@ -178,12 +185,12 @@
   // one knew. Merging them would advance this table's vector past the gap for good.
   if (request.receiver_incarnation.empty() || request.receiver_incarnation == incarnation_)
     MergeInstances(request.changed_instances);
-  shards_.Meet(request.disk, request.sender.address);
+  shards_.OnPeerAddress(request.disk, request.sender.address);
   shards_.SetLeaving(request.disk, request.sender.leaving);
   for (const int shard : request.shards_to_join)
-    shards_.Join(shard, {request.disk, request.sender.address}, now);
-  for (const ShardMessage& message : request.messages) shards_.Step(message, now);
-  for (const ShardProposal& proposal : request.proposals) shards_.TakeForwarded(proposal);
+    shards_.AddLearner(shard, {request.disk, request.sender.address}, now);
+  for (const ShardMessage& message : request.messages) shards_.OnMessage(message, now);
+  for (const ShardProposal& proposal : request.proposals) shards_.OnForwardedProposal(proposal);
   RouteDemand(request.demand);
   ExchangeReply reply;
   reply.incarnation = incarnation_;
@@ -259,7 +266,7 @@
 void ControlCore::RouteDemand(const std::vector<ModelDemand>& demand) {
   if (demand.empty()) return;
   if (shards_.configuration_replica().leader()) {
-    placer_.CountDemand(demand, now_);
+    placer_.RecordDemand(demand, now_);
     const auto has_waiting_requests = [](const ModelDemand& model) { return model.waiting > 0; };
     if (std::any_of(demand.begin(), demand.end(), has_waiting_requests)) PlanPlacements();
     return;
--- a/src/control/core/control_core.hpp
+++ b/src/control/core/control_core.hpp
@@ -50,7 +50,7 @@
   };
   using AcceptanceCallback = std::function<void(Acceptance)>;
   /// Empty if no quorum has confirmed the change in time; it may still take effect.
-  using ChangeCallback = std::function<void(const std::optional<configuration::Answer>&)>;
+  using ChangeCallback = std::function<void(const std::optional<configuration::ChangeOutcome>&)>;
   /// Empty if no quorum has answered in time.
   using ReadCallback = std::function<void(const std::optional<ConfigurationRead>&)>;
 
@@ -129,7 +129,7 @@
   Shards shards_;
   VersionVector notified_versions_;      // changes that sidecars were notified of
   std::uint64_t broadcast_counter_ = 0;  // last change of this process that was broadcast
-  const consensus::MemberPolicy member_policy_;
+  const consensus::MembershipPolicy member_policy_;
   QuorumContact quorum_contact_;
   WatchRegistry watches_;
   bool stopping_ = false;
--- a/src/control/service/control_service.cpp
+++ b/src/control/service/control_service.cpp
@@ -12,6 +12,7 @@
 
 #include "common/steady_time.hpp"
 #include "control/api/handlers.hpp"
+#include "control/replication/bootstrap.hpp"
 
 namespace violetwing {
 namespace {
@@ -71,8 +72,9 @@
 
 std::error_code ControlService::Start(std::string& problem) {
   if (const std::error_code error = OpenDisk(problem)) return error;
-  core_ = std::make_unique<ControlCore>(
-      settings_, incarnation_, Shards::Stored{store_.disk(), store_.stored()}, CoreOutputs(), SteadyMicros());
+  core_ = std::make_unique<ControlCore>(settings_, incarnation_,
+                                        Shards::Stored{store_.replica_id(), store_.stored()}, CoreOutputs(),
+                                        SteadyMicros());
   if (const std::error_code error = Listen(problem)) return error;
   if (const std::error_code error = StartStore(problem)) return error;
   tick_event_.reset(event_new(
@@ -83,7 +85,7 @@
       base_, -1, 0,
       [](evutil_socket_t, short, void* service) { static_cast<ControlService*>(service)->OnOrdersDue(); },
       this));
-  spdlog::info("control process {} of disk {} takes calls at {}", settings_.node_name, store_.disk(),
+  spdlog::info("control process {} of disk {} takes calls at {}", settings_.node_name, store_.replica_id(),
                settings_.control_plane);
   return {};
 }
@@ -92,7 +94,7 @@
   const std::vector<std::string>& seeds = settings_.seeds;
   const bool founder =
       settings_.bootstrap && std::find(seeds.begin(), seeds.end(), settings_.control_plane) != seeds.end();
-  const std::string disk = founder ? FounderDisk(settings_.InternalAddress()) : "disk/" + RandomId();
+  const std::string disk = founder ? BootstrapReplicaId(settings_.InternalAddress()) : "disk/" + RandomId();
   return store_.Open(settings_.data_dir, disk, problem);
 }
 
@@ -164,7 +166,7 @@
 
 void ControlService::OnWritesDurable() {
   writes_pipe_.Drain();
-  for (const std::uint64_t token : store_.TakeWritten()) core_->OnWriteDurable(token, SteadyMicros());
+  for (const std::uint64_t token : store_.TakeDurable()) core_->OnWriteDurable(token, SteadyMicros());
 }
 
 // ---- Calls of the core ----
--- a/tests/testing/virtual_system.hpp
+++ b/tests/testing/virtual_system.hpp
@@ -20,6 +20,7 @@
 #include "common/time.hpp"
 #include "control/api/handlers.hpp"
 #include "control/core/control_core.hpp"
+#include "control/replication/bootstrap.hpp"
 #include "dataplane/control_client/control_process_selector.hpp"
 #include "dataplane/control_client/system_view.hpp"
 #include "testing/virtual_disk.hpp"
@@ -66,7 +67,7 @@
       Control control;
       control.address = "10.0.0." + std::to_string(i + 1) + ":100";
       control.public_address = "10.0.0." + std::to_string(i + 1) + ":99";
-      control.disk = FounderDisk(control.address);
+      control.disk = BootstrapReplicaId(control.address);
       controls_.push_back(std::move(control));
     }
     for (std::size_t i = 0; i < controls; ++i) Start(i);
@@ -300,7 +301,7 @@
     sidecar.watch_in_flight = true;
     const std::string to = sidecar.choice->Current(sidecar.view->controls());
     CallInternal("edge-" + std::to_string(i), to, kWatchPath,
-                 Encode(sidecar.view->NextPull(kWatchWaitMs, {})),
+                 Encode(sidecar.view->NextWatchRequest(kWatchWaitMs, {})),
                  [this, i](int status, const std::string& body) { OnWatched(i, status, body); });
   }
 
@@ -308,7 +309,7 @@
     Sidecar& sidecar = sidecars_[i];
     sidecar.watch_in_flight = false;
     if (const auto reply = Read<WatchReply>(status, body)) {
-      sidecar.view->Take(*reply);
+      sidecar.view->Apply(*reply);
       sidecar.choice->OnAnswered(sidecar.view->controls(), now_);
       sidecar.next_watch_at = now_;
     } else {
