--- a/src/control/core/control_core.cpp
+++ b/src/control/core/control_core.cpp
@@ -112,7 +112,7 @@
   quorum_contact_.Update(has_quorum_contact, now);
   table_.Expire(now, has_quorum_contact);
   watches_.Tick(now);
-  gossip_.SetMembers(shards_.ReviewMembers(member_policy_, now));
+  gossip_.SetMembers(shards_.ReviewMembers(membership_policy_, now));
   PlanPlacements();
   gossip_.Tick(now);
   AnswerWatches(WatchRegistry::Urgency::kRateLimited);
