--- a/src/control/core/control_core.cpp
+++ b/src/control/core/control_core.cpp
@@ -47,7 +47,7 @@
       gossip_({settings.node_name, settings.zone, settings.InternalAddress(), settings.control_plane},
               GossipOutputs()),
       shards_(stored, BootstrapVoters(settings, stored.replica_id), incarnation_, ShardOutputs(), now),
-      member_policy_(consensus::MakeMembershipPolicy(
+      membership_policy_(consensus::MakeMembershipPolicy(
           static_cast<std::size_t>(std::max(kMinReplicas, 2 * settings.tolerated_nodes + 1)),
           settings.catch_up_ms * kMicrosPerMs)),
       quorum_contact_(now),
--- a/src/control/core/control_core.hpp
+++ b/src/control/core/control_core.hpp
@@ -129,7 +129,7 @@
   Shards shards_;
   VersionVector notified_versions_;      // changes that sidecars were notified of
   std::uint64_t broadcast_counter_ = 0;  // last change of this process that was broadcast
-  const consensus::MembershipPolicy member_policy_;
+  const consensus::MembershipPolicy membership_policy_;
   QuorumContact quorum_contact_;
   WatchRegistry watches_;
   bool stopping_ = false;
