--- a/examples/main.cpp
+++ b/examples/main.cpp
@@ -2,10 +2,10 @@
 // first of which turns every request away.
 #include <cstdio>
 #include <map>
-#include <violetwing_balancer/balancer.hpp>
 #include <string>
 #include <utility>
 #include <vector>
+#include <violetwing_balancer/balancer.hpp>
 
 namespace {
 
--- a/src/control/control_core.cpp
+++ b/src/control/core/control_core.cpp
@@ -1,4 +1,4 @@
-#include "control/control_core.hpp"
+#include "control/core/control_core.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -81,7 +81,9 @@
     watches_.OnUpdate();
     if (shard == kConfigurationShard) AnswerWatches(WatchRegistry::Urgency::kImmediate);
   };
-  outputs.deregistered = [this](const std::string& id, Phase phase) { table_.ApplyDeregistration(id, phase, now_); };
+  outputs.deregistered = [this](const std::string& id, Phase phase) {
+    table_.ApplyDeregistration(id, phase, now_);
+  };
   return outputs;
 }
 
--- a/src/control/gossip/exchange_message.cpp
+++ b/src/control/gossip/exchange_message.cpp
@@ -1,7 +1,7 @@
 #include "control/gossip/exchange_message.hpp"
 
-#include "generated/internal.pb.h"
 #include "control/consensus/encoding.hpp"
+#include "generated/internal.pb.h"
 #include "messages/parse.hpp"
 #include "messages/wire_conversion.hpp"
 
--- a/src/control/replication/shards.hpp
+++ b/src/control/replication/shards.hpp
@@ -19,6 +19,8 @@
 #include "control/gossip/exchange_message.hpp"
 #include "control/instances/deregistrations.hpp"
 #include "control/replication/replicated_state_machine.hpp"
+#include "control/replication/state_machine.hpp"
+#include "control/storage/shard_write.hpp"
 
 namespace violetwing {
 
--- a/src/control/storage/shard_database.cpp
+++ b/src/control/storage/shard_database.cpp
@@ -3,9 +3,9 @@
 #include <optional>
 #include <utility>
 
+#include "control/consensus/encoding.hpp"
 #include "control/storage/json_form.hpp"
 #include "control/storage/storage_error.hpp"
-#include "control/consensus/encoding.hpp"
 
 namespace violetwing {
 namespace {
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -17,7 +17,7 @@
 #include <variant>
 
 #include "common/node_settings.hpp"
-#include "control/control_service.hpp"
+#include "control/service/control_service.hpp"
 #include "dataplane/edge_service.hpp"
 
 namespace {
