--- a/src/control/core/control_core.hpp
+++ b/src/control/core/control_core.hpp
@@ -96,6 +96,7 @@
   /// The end of a request for a report. Empty without a report that could be read.
   void OnServerReport(const std::string& instance, const std::optional<ServerReport>& report, Micros now);
 
+  /// The state that the other parts of the process and its tests may read.
   const configuration::State& configuration() const { return shards_.configuration(); }
   const InstanceTable& table() const { return table_; }
   const Shards& shards() const { return shards_; }
--- a/src/control/core/quorum_contact.hpp
+++ b/src/control/core/quorum_contact.hpp
@@ -9,6 +9,7 @@
 /// Times are in microseconds of one steady clock, and greater than 0. Starts without contact.
 class QuorumContact {
  public:
+  /// Without contact since `now`.
   explicit QuorumContact(Micros now) : lost_at_(now) {}
 
   /// Records whether there is contact now. To be called at short intervals.
--- a/src/control/core/watch_registry.hpp
+++ b/src/control/core/watch_registry.hpp
@@ -42,6 +42,7 @@
     bool instances_complete = false;
   };
 
+  /// How soon pending watches are answered.
   enum class Urgency {
     kImmediate,    ///< pending watches are answered now
     kRateLimited,  ///< not before the interval between two notifications is over
--- a/src/control/gossip/exchange_message.hpp
+++ b/src/control/gossip/exchange_message.hpp
@@ -69,6 +69,7 @@
   std::vector<ControlNode> control_nodes;
 };
 
+/// Messages as bodies of internal calls (protocol buffers, internal.proto).
 std::string Encode(const ExchangeRequest& request);
 std::string Encode(const ExchangeReply& reply);
 template <>
--- a/src/control/gossip/gossip.hpp
+++ b/src/control/gossip/gossip.hpp
@@ -29,6 +29,7 @@
     std::function<void(const std::string& address, ExchangeRequest)> exchange;
   };
 
+  /// `self`: how this process presents itself to the others.
   Gossip(ControlNode self, Outputs outputs) : self_(std::move(self)), outputs_(std::move(outputs)) {}
 
   /// Replaces the peers of the settings, which are never forgotten.
--- a/src/messages/load.hpp
+++ b/src/messages/load.hpp
@@ -24,6 +24,7 @@
   std::vector<SentPrompt> prompts;
 };
 
+/// The report as one datagram (protocol buffers).
 std::string Encode(const LoadReport& report);
 /// Empty if the bytes are not a report, or if a field is missing.
 std::optional<LoadReport> DecodeLoadReport(std::string_view bytes);
--- a/src/messages/watch.hpp
+++ b/src/messages/watch.hpp
@@ -57,6 +57,7 @@
   Neighbors neighbors;  ///< without addresses if the caller's hash is the same
 };
 
+/// Messages as bodies of internal calls (protocol buffers, internal.proto).
 std::string Encode(const WatchRequest& request);
 std::string Encode(const WatchReply& reply);
 std::string Encode(const std::vector<ModelDemand>& demand);
--- a/src/messages/wire_conversion.hpp
+++ b/src/messages/wire_conversion.hpp
@@ -26,6 +26,7 @@
 void ToWire(const ControlNode& node, wire::ControlNode& out);
 void ToWire(const std::vector<ControlNode>& nodes, wire::ControlNodes& out);
 
+/// The reverse of ToWire. All required fields are there: Parse has checked that.
 std::vector<Instance> FromWire(const wire::Instances& in);
 VersionVector FromWire(const wire::VersionVector& in);
 std::vector<ModelDemand> FromWire(const wire::Demand& in);
