--- a/bench/http_stacks.cpp
+++ b/bench/http_stacks.cpp
@@ -40,8 +40,8 @@
 void ServeByEvhttp() {
   event_base* base = event_base_new();
   violetwing::http::Server server(
-      base, [](const violetwing::http::Request&, const violetwing::http::Answer& answer) {
-        answer({200, std::string(kAnswerBytes, 'x'), {}});
+      base, [](const violetwing::http::Request&, const violetwing::http::Responder& respond) {
+        respond({200, std::string(kAnswerBytes, 'x'), {}});
       });
   if (server.Listen(kEvhttpAddress)) std::_Exit(1);
   event_base_dispatch(base);
--- a/examples/loopback/stand_in.cpp
+++ b/examples/loopback/stand_in.cpp
@@ -7,15 +7,15 @@
 #include "control/api/http_server.hpp"
 
 int main(int argc, char** argv) {
-  using violetwing::http::Answer;
   using violetwing::http::Request;
+  using violetwing::http::Responder;
   if (argc != 2) {
     std::fprintf(stderr, "usage: violetwing-stand-in HOST:PORT\n");
     return 2;
   }
   event_base* base = event_base_new();
-  violetwing::http::Server server(base, [](const Request& request, const Answer& answer) {
-    answer({200, "{\"method\": \"" + request.method + "\", \"path\": \"" + request.path + "\"}", {}});
+  violetwing::http::Server server(base, [](const Request& request, const Responder& respond) {
+    respond({200, "{\"method\": \"" + request.method + "\", \"path\": \"" + request.path + "\"}", {}});
   });
   if (const std::error_code error = server.Listen(argv[1])) {
     std::fprintf(stderr, "violetwing-stand-in: %s: %s\n", argv[1], error.message().c_str());
--- a/src/control/api/handlers.cpp
+++ b/src/control/api/handlers.cpp
@@ -55,15 +55,15 @@
   return http::kBadRequest;
 }
 
-ControlCore::AcceptanceCallback AcceptanceAnswer(const http::Answer& answer) {
-  return [answer](ControlCore::Acceptance acceptance) {
-    answer(acceptance == ControlCore::Acceptance::kAccepted ? Success()
-                                                            : Unavailable("no quorum has taken it yet"));
+ControlCore::AcceptanceCallback AcceptanceAnswer(const http::Responder& respond) {
+  return [respond](ControlCore::Acceptance acceptance) {
+    respond(acceptance == ControlCore::Acceptance::kAccepted ? Success()
+                                                             : Unavailable("no quorum has taken it yet"));
   };
 }
 
 void HandleHeartbeat(ControlCore& core, const std::string& id, const std::string& body, Micros now,
-                     const http::Answer& answer) {
+                     const http::Responder& respond) {
   Instance instance;
   bool draining = false;
   try {
@@ -71,87 +71,94 @@
     draining = in.value("phase", std::string("ready")) == "draining";
     instance = in.get<Instance>();
   } catch (const json::exception& error) {
-    return answer(Failure(http::kBadRequest, error.what()));
+    return respond(Failure(http::kBadRequest, error.what()));
   }
   if (instance.backend.empty() || instance.address.empty())
-    return answer(Failure(http::kBadRequest, "backend or address is missing"));
+    return respond(Failure(http::kBadRequest, "backend or address is missing"));
   instance.id = id;
-  core.Heartbeat(std::move(instance), draining, now, AcceptanceAnswer(answer));
+  core.Heartbeat(std::move(instance), draining, now, AcceptanceAnswer(respond));
 }
 
-void HandleChange(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
+void HandleChange(ControlCore& core, const http::Request& request, Micros now,
+                  const http::Responder& respond) {
   configuration::Change change;
   change.patch = request.method == "PATCH";
   if (!ParseIfMatch(request.if_match, change.base_version))
-    return answer(Failure(http::kBadRequest, "If-Match: is no version"));
+    return respond(Failure(http::kBadRequest, "If-Match: is no version"));
   // Checked before it is submitted, so that the log holds valid JSON only.
   if (!json::accept(request.body))
-    return answer(Failure(http::kBadRequest, "document: cannot be read whole as JSON"));
+    return respond(Failure(http::kBadRequest, "document: cannot be read whole as JSON"));
   change.body = request.body;
-  core.Change(change, now, [answer](const Result<configuration::ChangeOutcome>& result) {
-    if (!result) return answer(Unavailable("no quorum has taken it yet; send it again unchanged"));
+  core.Change(change, now, [respond](const Result<configuration::ChangeOutcome>& result) {
+    if (!result) return respond(Unavailable("no quorum has taken it yet; send it again unchanged"));
     const configuration::ChangeOutcome& outcome = result.value();
     const int status = StatusOf(outcome.status);
-    if (status == http::kOk) return answer({http::kOk, json{{"version", outcome.version}}.dump(), {}});
-    if (status == http::kServiceUnavailable) return answer(Unavailable(outcome.message));
-    answer(Failure(status, outcome.message));
+    if (status == http::kOk) return respond({http::kOk, json{{"version", outcome.version}}.dump(), {}});
+    if (status == http::kServiceUnavailable) return respond(Unavailable(outcome.message));
+    respond(Failure(status, outcome.message));
   });
 }
 
-void HandleRead(ControlCore& core, Micros now, const http::Answer& answer) {
-  core.ReadConfiguration(now, [answer](const Result<ControlCore::ConfigurationRead>& result) {
-    if (!result) return answer(Unavailable("no quorum answers"));
+void HandleRead(ControlCore& core, Micros now, const http::Responder& respond) {
+  core.ReadConfiguration(now, [respond](const Result<ControlCore::ConfigurationRead>& result) {
+    if (!result) return respond(Unavailable("no quorum answers"));
     const ControlCore::ConfigurationRead& read = result.value();
-    if (read.version == 0) return answer(Failure(http::kNotFound, "there is no configuration yet"));
-    answer({http::kOk, read.document, {{"ETag", std::to_string(read.version)}}});
+    if (read.version == 0) return respond(Failure(http::kNotFound, "there is no configuration yet"));
+    respond({http::kOk, read.document, {{"ETag", std::to_string(read.version)}}});
   });
 }
 
-void RejectBody(const http::Request& request, const http::Answer& answer) {
-  answer(Failure(http::kBadRequest, request.path + ": the body is no such call"));
+void RejectBody(const http::Request& request, const http::Responder& respond) {
+  respond(Failure(http::kBadRequest, request.path + ": the body is no such call"));
 }
 
-void HandleExchange(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
+void HandleExchange(ControlCore& core, const http::Request& request, Micros now,
+                    const http::Responder& respond) {
   const auto exchange = Decode<ExchangeRequest>(request.body);
-  if (!exchange) return RejectBody(request, answer);
-  answer({http::kOk, Encode(core.OnExchangeRequest(*exchange, now)), {}, http::BodyType::kBinary});
+  if (!exchange) return RejectBody(request, respond);
+  respond({http::kOk, Encode(core.OnExchangeRequest(*exchange, now)), {}, http::BodyType::kBinary});
 }
 
-void HandleWatch(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
+void HandleWatch(ControlCore& core, const http::Request& request, Micros now,
+                 const http::Responder& respond) {
   auto watch = Decode<WatchRequest>(request.body);
-  if (!watch) return RejectBody(request, answer);
-  core.Watch(std::move(*watch), now, [answer](const std::optional<WatchReply>& reply) {
-    if (!reply) return answer(Unavailable("this process is out of touch with the others, or stops"));
-    answer({http::kOk, Encode(*reply), {}, http::BodyType::kBinary});
+  if (!watch) return RejectBody(request, respond);
+  core.Watch(std::move(*watch), now, [respond](const std::optional<WatchReply>& reply) {
+    if (!reply) return respond(Unavailable("this process is out of touch with the others, or stops"));
+    respond({http::kOk, Encode(*reply), {}, http::BodyType::kBinary});
   });
 }
 
-void HandleDemand(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
+void HandleDemand(ControlCore& core, const http::Request& request, Micros now,
+                  const http::Responder& respond) {
   const auto demand = Decode<std::vector<ModelDemand>>(request.body);
-  if (!demand) return RejectBody(request, answer);
+  if (!demand) return RejectBody(request, respond);
   core.OnDemand(*demand, now);
-  answer(Success());
+  respond(Success());
 }
 
 }  // namespace
 
-void HandlePublic(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
+void HandlePublic(ControlCore& core, const http::Request& request, Micros now,
+                  const http::Responder& respond) {
   if (request.path == kConfigurationPath) {
-    if (request.method == "GET") return HandleRead(core, now, answer);
-    if (request.method == "PUT" || request.method == "PATCH") return HandleChange(core, request, now, answer);
+    if (request.method == "GET") return HandleRead(core, now, respond);
+    if (request.method == "PUT" || request.method == "PATCH")
+      return HandleChange(core, request, now, respond);
   } else if (request.path.rfind(kInstancesPath, 0) == 0) {
     const std::string id = request.path.substr(std::string(kInstancesPath).size());
-    if (request.method == "PUT") return HandleHeartbeat(core, id, request.body, now, answer);
-    if (request.method == "DELETE") return core.Deregister(id, now, AcceptanceAnswer(answer));
+    if (request.method == "PUT") return HandleHeartbeat(core, id, request.body, now, respond);
+    if (request.method == "DELETE") return core.Deregister(id, now, AcceptanceAnswer(respond));
   }
-  answer(NotFound(request));
+  respond(NotFound(request));
 }
 
-void HandleInternal(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer) {
-  if (request.path == kExchangePath) return HandleExchange(core, request, now, answer);
-  if (request.path == kWatchPath) return HandleWatch(core, request, now, answer);
-  if (request.path == kDemandPath) return HandleDemand(core, request, now, answer);
-  answer(NotFound(request));
+void HandleInternal(ControlCore& core, const http::Request& request, Micros now,
+                    const http::Responder& respond) {
+  if (request.path == kExchangePath) return HandleExchange(core, request, now, respond);
+  if (request.path == kWatchPath) return HandleWatch(core, request, now, respond);
+  if (request.path == kDemandPath) return HandleDemand(core, request, now, respond);
+  respond(NotFound(request));
 }
 
 }  // namespace violetwing
--- a/src/control/api/handlers.hpp
+++ b/src/control/api/handlers.hpp
@@ -9,11 +9,13 @@
 
 namespace violetwing {
 
-/// Requests of servers and of the operator (PROTOCOL.md). `answer` is called once, at once or later; a path
+/// Requests of servers and of the operator (PROTOCOL.md). `respond` is called once, at once or later; a path
 /// or method that does not exist is answered with 404.
-void HandlePublic(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer);
+void HandlePublic(ControlCore& core, const http::Request& request, Micros now,
+                  const http::Responder& respond);
 /// Requests of the other control processes and of the sidecars (messages/peer.hpp); likewise.
-void HandleInternal(ControlCore& core, const http::Request& request, Micros now, const http::Answer& answer);
+void HandleInternal(ControlCore& core, const http::Request& request, Micros now,
+                    const http::Responder& respond);
 
 }  // namespace violetwing
 
--- a/src/control/api/http_server.hpp
+++ b/src/control/api/http_server.hpp
@@ -19,7 +19,7 @@
 class Server {
  public:
   /// Handles one request; the answer may be given at once or later.
-  using Handler = std::function<void(Request, Answer)>;
+  using Handler = std::function<void(Request, Responder)>;
 
   /// `base` outlives the server.
   Server(event_base* base, Handler handler);
--- a/src/control/api/messages.hpp
+++ b/src/control/api/messages.hpp
@@ -32,7 +32,7 @@
 };
 
 /// Receives the response to one request. To be called once, at any time; further calls are ignored.
-using Answer = std::function<void(Response)>;
+using Responder = std::function<void(Response)>;
 
 }  // namespace violetwing::http
 
--- a/src/control/service/control_service.cpp
+++ b/src/control/service/control_service.cpp
@@ -65,12 +65,12 @@
       settings_(std::move(settings)),
       incarnation_(settings_.node_name + "/" + RandomId().substr(0, 8)),
       public_api_(base,
-                  [this](const http::Request& request, const http::Answer& answer) {
-                    HandlePublic(*core_, request, SteadyMicros(), answer);
+                  [this](const http::Request& request, const http::Responder& respond) {
+                    HandlePublic(*core_, request, SteadyMicros(), respond);
                   }),
       internal_api_(base,
-                    [this](const http::Request& request, const http::Answer& answer) {
-                      HandleInternal(*core_, request, SteadyMicros(), answer);
+                    [this](const http::Request& request, const http::Responder& respond) {
+                      HandleInternal(*core_, request, SteadyMicros(), respond);
                     }),
       client_(base),
       duty_client_(base) {}
--- a/tests/control/configuration/patches_test.cpp
+++ b/tests/control/configuration/patches_test.cpp
@@ -132,7 +132,7 @@
   int documents = 0;
   int patches = 0;
   system.tamper = [&](WireMessage& message) {
-    if (message.path != kWatchPath || !message.answer) return;
+    if (message.path != kWatchPath || !message.is_response) return;
     const auto answer = Decode<WatchReply>(message.body);
     if (!answer) return;
     documents += answer->configuration_document.empty() ? 0 : 1;
--- a/tests/control/departures_test.cpp
+++ b/tests/control/departures_test.cpp
@@ -108,7 +108,7 @@
         system_.StallDisk(machine, span);
         return EndAfter(span, machine, [] {});
       default:
-        system_.CutFromCore(machine);
+        system_.IsolateFromPeers(machine);
         return EndAfter(span, machine, [this] { system_.Heal(); });
     }
   }
--- a/tests/control/digest_test.cpp
+++ b/tests/control/digest_test.cpp
@@ -114,7 +114,7 @@
       if (round % 8 == 6) Recover();
     }
     for (std::size_t i = 0; i < system_.controls(); ++i)
-      if (system_.Up(i)) digest_.Add(system_.control(i).core->configuration().document());
+      if (system_.IsRunning(i)) digest_.Add(system_.control(i).core->configuration().document());
     for (std::size_t i = 0; i < system_.sidecars(); ++i) digest_.Add(system_.sidecar(i).view->version());
   }
 
@@ -131,7 +131,7 @@
   void Observe() {
     system_.on_message = [this](const WireMessage& message) {
       digest_.Add(message.path);
-      digest_.Add(message.answer ? 1 : 0);
+      digest_.Add(message.is_response ? 1 : 0);
       digest_.Add(message.copies);
       digest_.Add(message.body);
     };
@@ -149,7 +149,8 @@
       const Server& server = servers_[call.instance];
       system_.After(5'000, [this, control, id = call.instance,
                             report = ServerReport{false, server.revision, server.models}] {
-        if (system_.Up(control)) system_.control(control).core->OnServerReport(id, report, system_.now());
+        if (system_.IsRunning(control))
+          system_.control(control).core->OnServerReport(id, report, system_.now());
       });
     };
     if (fault_ > Fault::kDamage) return;
@@ -168,7 +169,8 @@
     std::erase_if(server.models, [&](const HeldModel& held) { return held.name == call.model; });
     if (call.kind == PlacementCall::Kind::kLoad) server.models.push_back({call.model, 1, {}});
     system_.After(30'000, [this, control, call] {
-      if (system_.Up(control)) system_.control(control).core->OnOrderResponse(call, 200, system_.now());
+      if (system_.IsRunning(control))
+        system_.control(control).core->OnOrderResponse(call, 200, system_.now());
     });
   }
 
@@ -208,7 +210,7 @@
 
   void ReportDemand() {
     const std::size_t control = DrawControl();
-    if (!system_.Up(control)) return;
+    if (!system_.IsRunning(control)) return;
     const std::string model = "m" + std::to_string(random_.Below(kModels));
     const ModelDemand demand{"s", model, 1.0 + static_cast<double>(random_.Below(5)), 400.0,
                              static_cast<int>(random_.Below(3))};
@@ -218,18 +220,18 @@
   void Disturb() {
     const std::size_t victim = DrawControl();
     const auto span = static_cast<std::int64_t>(random_.Below(2 * kSecond));
-    if (fault_ == Fault::kKill && system_.Up(victim)) system_.Kill(victim);
-    if (fault_ == Fault::kPowerOff && system_.Up(victim)) system_.PowerOff(victim);
+    if (fault_ == Fault::kKill && system_.IsRunning(victim)) system_.Kill(victim);
+    if (fault_ == Fault::kPowerOff && system_.IsRunning(victim)) system_.PowerOff(victim);
     if (fault_ == Fault::kFreeze) system_.Freeze(victim, span);
     if (fault_ == Fault::kDiskStall) system_.StallDisk(victim, span);
-    if (fault_ == Fault::kCut) system_.Cut(victim);
-    if (fault_ == Fault::kCoreCut) system_.CutFromCore(victim);
+    if (fault_ == Fault::kCut) system_.Isolate(victim);
+    if (fault_ == Fault::kCoreCut) system_.IsolateFromPeers(victim);
   }
 
   void Recover() {
     system_.Heal();
     for (std::size_t i = 0; i < system_.controls(); ++i)
-      if (!system_.Up(i)) system_.Start(i);
+      if (!system_.IsRunning(i)) system_.Start(i);
   }
 
   const Fault fault_;
--- a/tests/control/duties/holders_test.cpp
+++ b/tests/control/duties/holders_test.cpp
@@ -53,7 +53,7 @@
     UsageReport report{"edge/1", {}};
     for (const auto& [key, count] : counts_) report.counts.push_back({key.first, key.second, count});
     for (std::size_t i = 0; i < system.controls(); ++i)
-      if (system.Up(i))
+      if (system.IsRunning(i))
         system.CallWatch(
             i, [](int, const std::string&) {}, report);
   }
@@ -94,19 +94,19 @@
                             : day.random.Below(system.controls());
   switch (day.random.Below(6)) {
     case 0:
-      if (system.Up(i)) system.Kill(i);
+      if (system.IsRunning(i)) system.Kill(i);
       break;
     case 1:
       system.Freeze(i, day.Drawn(4 * kSecond));
       break;
     case 2:
-      system.Cut(i);
+      system.Isolate(i);
       break;
     case 3:
-      system.CutFromCore(i);
+      system.IsolateFromPeers(i);
       break;
     case 4:
-      if (!system.Up(i)) break;
+      if (!system.IsRunning(i)) break;
       system.BeginShutdown(i);
       day.shutting_down.insert(i);
       break;
@@ -120,7 +120,7 @@
   day.platform.down = false;
   for (const std::size_t i : std::exchange(day.shutting_down, {})) day.system.PowerOff(i);
   for (std::size_t i = 0; i < day.system.controls(); ++i)
-    if (!day.system.Up(i)) day.system.Start(i);
+    if (!day.system.IsRunning(i)) day.system.Start(i);
 }
 
 void PlayDrawnFaults(DutyDay& day) {
--- a/tests/control/linearizability_test.cpp
+++ b/tests/control/linearizability_test.cpp
@@ -104,7 +104,7 @@
     if (kind == 0) system.Kill(victim);
     if (kind == 1) system.PowerOff(victim);
     if (kind == 2) system.Freeze(victim, span);
-    if (kind == 3) system.Cut(victim);
+    if (kind == 3) system.Isolate(victim);
     if (kind == 4) system.StallDisk(victim, span);
   }
   if (kind == 5)
@@ -149,7 +149,7 @@
     run(static_cast<Micros>(random.Below(3 * kSecond)));
     system.Heal();
     for (std::size_t i = 0; i < system.controls(); ++i)
-      if (!system.Up(i)) system.Start(i);
+      if (!system.IsRunning(i)) system.Start(i);
     run(2 * kSecond);
   }
   for (RecordingOperator& one : operators) one.Stop();
--- a/tests/control/system_test.cpp
+++ b/tests/control/system_test.cpp
@@ -109,7 +109,7 @@
     Configure(8, 3, 1);
     Await("version 8 at all control processes", [&] {
       for (std::size_t i = 0; i < system.controls(); ++i)
-        if (system.Up(i) && system.control(i).core->configuration().version() != 8) return false;
+        if (system.IsRunning(i) && system.control(i).core->configuration().version() != 8) return false;
       return true;
     });
     CHECK(system.violations().empty());
@@ -133,7 +133,7 @@
   Play play;
   int seen = 0;
   play.system.tamper = [&](WireMessage& message) {
-    if (message.path == path && message.answer == answer && seen++ == at) change(message);
+    if (message.path == path && message.is_response == answer && seen++ == at) change(message);
   };
   play.Whole();
   // Late ones come after that; all goes on behind them.
@@ -248,7 +248,7 @@
   play.Configure(3, 0);
   bool lost = false;
   play.system.tamper = [&](WireMessage& message) {
-    if (lost || message.path != kExchangePath || message.answer) return;
+    if (lost || message.path != kExchangePath || message.is_response) return;
     if (Decode<ExchangeRequest>(message.body).value().proposals.empty()) return;
     lost = true;
     message.copies = 0;
@@ -313,7 +313,7 @@
   play.AwaitServers(2);
   // The shard that proves contact is lost, those that hold departures go on.
   play.system.tamper = [](WireMessage& message) {
-    if (message.path != kExchangePath || message.answer) return;
+    if (message.path != kExchangePath || message.is_response) return;
     auto request = Decode<ExchangeRequest>(message.body);
     std::erase_if(request->messages, [](const auto& one) { return one.shard == kConfigurationShard; });
     message.body = Encode(*request);
@@ -426,7 +426,7 @@
   int with_changes = 0;
   int unnamed = 0;
   play.system.tamper = [&](WireMessage& message) {
-    if (message.path != kExchangePath || message.answer) return;
+    if (message.path != kExchangePath || message.is_response) return;
     const ExchangeRequest request = Decode<ExchangeRequest>(message.body).value();
     if (request.changed_instances.empty()) return;
     ++with_changes;
@@ -460,8 +460,9 @@
   int replies = 0;
   int with_lists = 0;
   system.tamper = [&](WireMessage& message) {
-    const auto reply =
-        message.path == kExchangePath && message.answer ? Decode<ExchangeReply>(message.body) : std::nullopt;
+    const auto reply = message.path == kExchangePath && message.is_response
+                           ? Decode<ExchangeReply>(message.body)
+                           : std::nullopt;
     if (!reply) return;
     ++replies;
     with_lists += reply->control_nodes.empty() ? 0 : 1;
@@ -503,7 +504,7 @@
   system.Run(3 * kSecond);
   std::map<std::string, int> answers;
   system.tamper = [&](WireMessage& message) {
-    if (message.path != kWatchPath || !message.answer) return;
+    if (message.path != kWatchPath || !message.is_response) return;
     if (const auto answer = Decode<WatchReply>(message.body))
       ++answers[std::to_string(answer->window_position)];
   };
@@ -555,7 +556,7 @@
     play.Configure(3, 0);
     const Operator one(play.system, 7, 3, 0);
     const Operator other(play.system, 8, 3, 1);
-    play.system.Cut(seed % 3);
+    play.system.Isolate(seed % 3);
     play.system.Run(static_cast<Micros>(seed) * 50'000);
     play.system.Heal();
     play.Await("both answers", [&] { return one.Answered() && other.Answered(); });
--- a/tests/control/worst_days_test.cpp
+++ b/tests/control/worst_days_test.cpp
@@ -67,7 +67,8 @@
   }
   std::size_t Leader() {
     for (std::size_t i = 0; i < system.controls(); ++i)
-      if (system.Up(i) && system.control(i).core->shards().configuration_replica().HasLease(system.now()))
+      if (system.IsRunning(i) &&
+          system.control(i).core->shards().configuration_replica().HasLease(system.now()))
         return i;
     return system.controls();
   }
@@ -93,7 +94,7 @@
     Day day;
     day.Configure(0, Document(1));
     const std::size_t cut = leader ? day.Leader() : (day.Leader() + 1) % 3;
-    day.system.CutFromCore(cut);
+    day.system.IsolateFromPeers(cut);
     day.system.Run(kProofCounts);
     const Micros until = day.system.now() + 20 * kSecond;
     std::int64_t version = 1;
@@ -226,7 +227,7 @@
   day.system.Run(kSecond);
   int documents = 0;
   day.system.tamper = [&](testing::WireMessage& message) {
-    if (message.path != kWatchPath || !message.answer) return;
+    if (message.path != kWatchPath || !message.is_response) return;
     const auto answer = Decode<WatchReply>(message.body);
     documents += answer && !answer->configuration_document.empty();
   };
--- a/tests/testing/virtual_system.hpp
+++ b/tests/testing/virtual_system.hpp
@@ -30,7 +30,7 @@
 /// A message in flight: the body of a call, or of the answer to one.
 struct WireMessage {
   std::string path;
-  bool answer = false;
+  bool is_response = false;
   std::string body;
   int copies = 1;          ///< how often it arrives; 0: lost
   Micros extra_delay = 0;  ///< on top of the network's delay
@@ -167,7 +167,7 @@
         settings, settings.node_name + "/" + std::to_string(control.incarnation),
         Shards::Stored{control.disk, control.stored}, std::move(outputs), now_);
   }
-  bool Up(std::size_t i) const { return controls_[i].core != nullptr; }
+  bool IsRunning(std::size_t i) const { return controls_[i].core != nullptr; }
   /// The process ends; writes handed to the operating system survive.
   void Kill(std::size_t i) {
     for (const auto& write : controls_[i].writes) Store(controls_[i], write.second.first);
@@ -181,9 +181,9 @@
   }
   void Freeze(std::size_t i, Micros span) { controls_[i].frozen_until = now_ + span; }
   void StallDisk(std::size_t i, Micros span) { controls_[i].disk_stalled_until = now_ + span; }
-  void Cut(std::size_t i) { cut_.insert(controls_[i].address); }
+  void Isolate(std::size_t i) { cut_.insert(controls_[i].address); }
   /// Partitions it from the other control processes alone: servers, sidecars and operators reach it.
-  void CutFromCore(std::size_t i) { core_cut_.insert(controls_[i].address); }
+  void IsolateFromPeers(std::size_t i) { core_cut_.insert(controls_[i].address); }
   void Heal() {
     cut_.clear();
     core_cut_.clear();
@@ -294,15 +294,15 @@
     });
   }
 
-  void Deliver(std::size_t to, const http::Request& request, bool internal, const http::Answer& answer) {
+  void Deliver(std::size_t to, const http::Request& request, bool internal, const http::Responder& respond) {
     Control& control = controls_[to];
     if (control.core == nullptr) return;
     if (control.frozen_until > now_)
-      return At(control.frozen_until + 1, [=, this] { Deliver(to, request, internal, answer); });
+      return At(control.frozen_until + 1, [=, this] { Deliver(to, request, internal, respond); });
     if (internal)
-      HandleInternal(*control.core, request, now_, answer);
+      HandleInternal(*control.core, request, now_, respond);
     else
-      HandlePublic(*control.core, request, now_, answer);
+      HandlePublic(*control.core, request, now_, respond);
   }
 
   void Step() {
@@ -313,7 +313,7 @@
       event.act();
     }
     for (std::size_t i = 0; i < controls_.size(); ++i) {
-      if (!Up(i) || controls_[i].frozen_until > now_) continue;
+      if (!IsRunning(i) || controls_[i].frozen_until > now_) continue;
       FinishWrites(controls_[i]);
       controls_[i].core->OnClock(now_ + clock_errors[i], now_);
       if (now_ % kTick == 0)
