--- a/src/control/api/evhttp_message.hpp
+++ b/src/control/api/evhttp_message.hpp
@@ -1,4 +1,4 @@
-// Conversions between evhttp's messages and ours, for the server and the client.
+// Conversions between evhttp's messages and those of messages.hpp, for the server and the client.
 #ifndef VIOLETWING_CONTROL_API_EVHTTP_MESSAGE_HPP_
 #define VIOLETWING_CONTROL_API_EVHTTP_MESSAGE_HPP_
 
@@ -10,15 +10,16 @@
 
 namespace violetwing::http {
 
-/// The name of a method; empty for one that the control process does not use.
+/// The name of an HTTP method; empty for a method that control processes do not use.
 std::string MethodName(evhttp_cmd_type type);
-/// The inverse; EVHTTP_REQ_GET for an unknown name.
+/// The inverse of MethodName; EVHTTP_REQ_GET for an unknown name.
 evhttp_cmd_type MethodType(const std::string& name);
 
-/// The value of the Content-Type header.
+/// The value of the Content-Type header for a body of this type.
 const char* ContentType(BodyType type);
 
-/// Takes the body that was received with this request, or with its response on the client's side.
+/// Removes and returns the received body: that of the request on the server, that of the response on the
+/// client.
 std::string TakeBody(evhttp_request* request);
 
 }  // namespace violetwing::http
--- a/src/control/api/guarded_client.cpp
+++ b/src/control/api/guarded_client.cpp
@@ -29,7 +29,7 @@
   void operator()(event* owned) const { event_free(owned); }
 };
 
-std::string ToText(const GuardedClient::Call& call) {
+std::string SerializeRequest(const GuardedClient::Call& call) {
   beast_http::request<beast_http::string_body> request(beast_http::string_to_verb(call.method), call.path,
                                                        kHttp11);
   request.set(beast_http::field::host, call.address);
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-// One connection, with the call that it carries if any. Its owner is the client, which `Remove` tells to end
+// One connection, with the call that it carries, if any. The client owns it; `client_.Remove(this)` destroys
 // it.
 class GuardedClient::Connection {
  public:
@@ -68,8 +68,8 @@
   std::chrono::steady_clock::time_point last_used_at() const { return last_used_at_; }
 
   void Start(const Call& call, Guard may_send, Callback done) {
-    text_ = ToText(call);
-    timeout_span_ = call.timeout;
+    request_text_ = SerializeRequest(call);
+    timeout_duration_ = call.timeout;
     may_send_ = std::move(may_send);
     done_ = std::move(done);
     sent_ = false;
@@ -77,12 +77,12 @@
     parser_->eager(true);
     parser_->body_limit(kMaxResponseBytes);
     ArmTimeout();
-    connected_ ? PostSend() : Connect(call.address);
+    connected_ ? DeferSend() : Connect(call.address);
   }
 
  private:
   void ArmTimeout() {
-    const timeval span = ToTimeval(timeout_span_);
+    const timeval span = ToTimeval(timeout_duration_);
     event_add(timeout_.get(), &span);
   }
 
@@ -94,12 +94,14 @@
         evutil_parse_sockaddr_port(address.c_str(), reinterpret_cast<sockaddr*>(&to), &size) == 0;
     const bool connecting =
         parsed && bufferevent_socket_connect(socket_.get(), reinterpret_cast<sockaddr*>(&to), size) == 0;
-    // Reported from the event loop, like any other end.
+    // The failure is reported from the event loop, like any other result.
     if (!connecting) event_active(timeout_.get(), EV_TIMEOUT, 0);
   }
 
-  // From the event loop, so that the caller's state is settled when `done` is called.
-  void PostSend() { bufferevent_trigger_event(socket_.get(), BEV_EVENT_CONNECTED, BEV_TRIG_DEFER_CALLBACKS); }
+  // Sends from the event loop, so that `done` is not called before `Start` has returned to the caller.
+  void DeferSend() {
+    bufferevent_trigger_event(socket_.get(), BEV_EVENT_CONNECTED, BEV_TRIG_DEFER_CALLBACKS);
+  }
 
   void Send() {
     if (!may_send_()) {
@@ -108,12 +110,14 @@
     }
     sent_ = true;
     ArmTimeout();
-    // At once: the buffer of the connection would be written in a later turn of the loop.
-    const ssize_t size = send(bufferevent_getfd(socket_.get()), text_.data(), text_.size(), MSG_NOSIGNAL);
+    // Writes to the socket directly, because the bufferevent would write in a later iteration of the event
+    // loop.
+    const ssize_t size =
+        send(bufferevent_getfd(socket_.get()), request_text_.data(), request_text_.size(), MSG_NOSIGNAL);
     const std::size_t written = size < 0 ? 0 : static_cast<std::size_t>(size);
-    // The rest of a request whose first bytes are out.
-    if (written > 0 && written < text_.size())
-      bufferevent_write(socket_.get(), text_.data() + written, text_.size() - written);
+    // The bufferevent sends the rest of a partly written request.
+    if (written > 0 && written < request_text_.size())
+      bufferevent_write(socket_.get(), request_text_.data() + written, request_text_.size() - written);
     if (written == 0) Fail();
   }
 
@@ -124,7 +128,7 @@
     if (!IsIdle() && !sent_) Send();
   }
 
-  // What arrives before a request was sent belongs to no call.
+  // Data that arrives before a request was sent belongs to no call, so the connection cannot be used.
   void OnReadable() {
     if (IsIdle() || !sent_) return Fail();
     evbuffer* input = bufferevent_get_input(socket_.get());
@@ -153,7 +157,8 @@
     Finish({sent_ ? GuardedResult::Outcome::kUnanswered : GuardedResult::Outcome::kNotSent, 0});
   }
 
-  // After a plain close the kernel would go on to send the request once the network path is back.
+  // Without the reset, the kernel would still send the request after the close, once the network path is
+  // restored.
   void ResetOnClose() {
     const linger reset_on_close{1, 0};
     const evutil_socket_t socket = bufferevent_getfd(socket_.get());
@@ -165,15 +170,15 @@
     last_used_at_ = std::chrono::steady_clock::now();
     const Callback done = std::exchange(done_, nullptr);
     if (result.outcome == GuardedResult::Outcome::kUnanswered) ResetOnClose();
-    if (!std::exchange(is_reusable_, false)) client_.Remove(this);  // ends this object
+    if (!std::exchange(is_reusable_, false)) client_.Remove(this);  // destroys this object
     if (done != nullptr) done(result);
   }
 
   GuardedClient& client_;
   const std::unique_ptr<bufferevent, BufferEventDeleter> socket_;
   const std::unique_ptr<event, EventDeleter> timeout_;
-  std::string text_;  // of the request
-  std::chrono::milliseconds timeout_span_{0};
+  std::string request_text_;
+  std::chrono::milliseconds timeout_duration_{0};
   Guard may_send_;
   Callback done_;  // null while idle
   std::optional<beast_http::response_parser<beast_http::string_body>> parser_;
--- a/src/control/api/handlers.cpp
+++ b/src/control/api/handlers.cpp
@@ -31,7 +31,8 @@
   return Failure(http::kNotFound, "there is nothing at " + request.method + " " + request.path);
 }
 
-// Reads the version that a change is based on: `"7"`, `7` or nothing, which is 0. False for any other text.
+// Parses the version that a change is based on: `"7"`, `7`, or an empty text, which stands for 0. False for
+// any other text.
 bool ParseIfMatch(const std::string& text, std::int64_t& out) {
   std::string digits = text;
   std::erase_if(digits, [](char c) { return c == '"' || c == ' '; });
@@ -55,7 +56,7 @@
   return http::kBadRequest;
 }
 
-ControlCore::AcceptanceCallback AcceptanceAnswer(const http::Responder& respond) {
+ControlCore::AcceptanceCallback RespondWithAcceptance(const http::Responder& respond) {
   return [respond](ControlCore::Acceptance acceptance) {
     respond(acceptance == ControlCore::Acceptance::kAccepted ? Success()
                                                              : Unavailable("no quorum has taken it yet"));
@@ -76,7 +77,7 @@
   if (instance.backend.empty() || instance.address.empty())
     return respond(Failure(http::kBadRequest, "backend or address is missing"));
   instance.id = id;
-  core.Heartbeat(std::move(instance), draining, now, AcceptanceAnswer(respond));
+  core.Heartbeat(std::move(instance), draining, now, RespondWithAcceptance(respond));
 }
 
 void HandleChange(ControlCore& core, const http::Request& request, Micros now,
@@ -148,7 +149,7 @@
   } else if (request.path.rfind(kInstancesPath, 0) == 0) {
     const std::string id = request.path.substr(std::string(kInstancesPath).size());
     if (request.method == "PUT") return HandleHeartbeat(core, id, request.body, now, respond);
-    if (request.method == "DELETE") return core.Deregister(id, now, AcceptanceAnswer(respond));
+    if (request.method == "DELETE") return core.Deregister(id, now, RespondWithAcceptance(respond));
   }
   respond(NotFound(request));
 }
--- a/src/control/api/handlers.hpp
+++ b/src/control/api/handlers.hpp
@@ -9,11 +9,12 @@
 
 namespace violetwing {
 
-/// Requests of servers and of the operator (PROTOCOL.md). `respond` is called once, at once or later; a path
-/// or method that does not exist is answered with 404.
+/// Handles a request of a server or of the operator (PROTOCOL.md). `respond` is called once, possibly after
+/// this function has returned. The response to an unknown path or method is 404.
 void HandlePublic(ControlCore& core, const http::Request& request, Micros now,
                   const http::Responder& respond);
-/// Requests of the other control processes and of the sidecars (messages/peer.hpp); likewise.
+/// Likewise for a request of another control process (control/gossip/exchange_message.hpp) or of a sidecar
+/// (messages/watch.hpp).
 void HandleInternal(ControlCore& core, const http::Request& request, Micros now,
                     const http::Responder& respond);
 
--- a/src/control/api/host_port.hpp
+++ b/src/control/api/host_port.hpp
@@ -14,7 +14,7 @@
   std::uint16_t port = 0;  ///< 1 to 65535
 };
 
-/// Parses "10.0.0.1:80"; empty if the text has another form.
+/// Parses "10.0.0.1:80"; empty if the text does not have this form.
 std::optional<HostPort> ParseHostPort(const std::string& address);
 
 }  // namespace violetwing::http
--- a/src/control/api/http_client.cpp
+++ b/src/control/api/http_client.cpp
@@ -52,8 +52,8 @@
   ResetOnClose(connection->handle);
 }
 
-// A request that has timed out must not reach its peer later: after a plain close the kernel would go on to
-// send its bytes once the network path is back.
+// A request that has timed out must not reach its peer later. Without the reset, the kernel would still send
+// its bytes after the close, once the network path is restored.
 void Client::ResetOnClose(evhttp_connection* connection) {
   const evutil_socket_t socket = bufferevent_getfd(evhttp_connection_get_bufferevent(connection));
   const linger reset_on_close{1, 0};
--- a/src/control/api/http_server.cpp
+++ b/src/control/api/http_server.cpp
@@ -14,10 +14,10 @@
 namespace violetwing::http {
 namespace {
 
-// 16 MiB: bodies of the operator or of another control process.
+// 16 MiB, for bodies from the operator or from another control process.
 constexpr ev_ssize_t kMaxBodyBytes = 16'777'216;
 constexpr ev_ssize_t kMaxHeaderBytes = 65'536;
-// A connection without traffic for so long is closed.
+// A connection without traffic for this time is closed.
 constexpr int kIdleTimeoutSeconds = 60;
 
 void Send(evhttp_request* request, const Response& response) {
@@ -26,7 +26,7 @@
   for (const auto& [name, value] : response.headers) evhttp_add_header(headers, name.c_str(), value.c_str());
   evbuffer* out = evbuffer_new();
   evbuffer_add(out, response.body.data(), response.body.size());
-  if (response.type == BodyType::kJson) evbuffer_add(out, "\n", 1);  // for those who read it in a terminal
+  if (response.type == BodyType::kJson) evbuffer_add(out, "\n", 1);  // for readability in a terminal
   evhttp_send_reply(request, response.status, ReasonPhrase(response.status), out);
   evbuffer_free(out);
 }
--- a/src/control/api/http_server.hpp
+++ b/src/control/api/http_server.hpp
@@ -1,4 +1,4 @@
-// An HTTP server over libevent's evhttp, whose handlers may answer later.
+// An HTTP server over libevent's evhttp, whose handlers may respond asynchronously.
 #ifndef VIOLETWING_CONTROL_API_HTTP_SERVER_HPP_
 #define VIOLETWING_CONTROL_API_HTTP_SERVER_HPP_
 
@@ -18,20 +18,21 @@
 /// Not thread-safe: it runs on the event loop that it is given.
 class Server {
  public:
-  /// Handles one request; the answer may be given at once or later.
+  /// Handles one request; the responder may be called at once or later.
   using Handler = std::function<void(Request, Responder)>;
 
-  /// `base` outlives the server.
+  /// `base` has to outlive the server.
   Server(event_base* base, Handler handler);
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  /// Listens at an address host:port. Errors: invalid_argument for another form, else the system's.
+  /// Listens on an address host:port. Errors: invalid_argument if the address cannot be parsed, else that of
+  /// the operating system.
   std::error_code Listen(const std::string& address);
   /// Accepts no further connections; open ones are still served.
   void StopListening();
-  /// Requests that have been handled and not been answered yet.
+  /// The number of requests that have been passed to the handler and have no response yet.
   std::size_t unanswered() const { return *unanswered_; }
 
  private:
--- a/src/control/api/http_status.hpp
+++ b/src/control/api/http_status.hpp
@@ -1,4 +1,4 @@
-// The HTTP statuses that a control process answers with (PROTOCOL.md; RFC 9110, section 15).
+// The HTTP status codes in responses of a control process (PROTOCOL.md; RFC 9110, section 15).
 #ifndef VIOLETWING_CONTROL_API_HTTP_STATUS_HPP_
 #define VIOLETWING_CONTROL_API_HTTP_STATUS_HPP_
 
--- a/src/control/api/messages.hpp
+++ b/src/control/api/messages.hpp
@@ -9,7 +9,7 @@
 
 namespace violetwing::http {
 
-/// Names and values.
+/// Header fields as pairs of name and value.
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
 /// A request as the server has received it.
@@ -17,10 +17,10 @@
   std::string method;
   std::string path;  ///< without the query
   std::string body;
-  std::string if_match;  ///< the header If-Match; empty without it
+  std::string if_match;  ///< the header If-Match; empty if it is absent
 };
 
-/// kBinary: protocol buffers, in requests between the processes of the system.
+/// The type of a body; kBinary: protocol buffers, in calls between the processes of the system.
 enum class BodyType { kJson, kBinary };
 
 /// The response to be sent.
@@ -31,7 +31,7 @@
   BodyType type = BodyType::kJson;
 };
 
-/// Receives the response to one request. To be called once, at any time; further calls are ignored.
+/// Sends the response to one request. May be called at any time; calls after the first one are ignored.
 using Responder = std::function<void(Response)>;
 
 }  // namespace violetwing::http
--- a/src/control/control_error.hpp
+++ b/src/control/control_error.hpp
@@ -8,14 +8,14 @@
 
 /// Error codes of the control process, of category ControlCategory().
 enum class ControlErrc {
-  /// The command was not applied here in time. It may have been committed, or may be later: only a command
-  /// that is idempotent may be submitted again without harm.
+  /// The command was not applied here in time. It may have been committed, or may still be committed later,
+  /// so only an idempotent command may safely be submitted again.
   kCommitStatusUnknown = 1,
   /// Nothing was submitted: this process has been out of contact with a quorum for longer than an election
   /// takes.
   kNoQuorum,
-  /// A snapshot of a state machine cannot be decoded, or is of a form that this version refuses. The replica
-  /// must not go on: it would answer from another state than its peers.
+  /// A snapshot of a state machine cannot be decoded, or has a format that this version rejects. The replica
+  /// must stop, because it would answer from a different state than its peers.
   kUnreadableState,
 };
 
--- a/src/control/core/control_core.cpp
+++ b/src/control/core/control_core.cpp
@@ -18,21 +18,23 @@
 constexpr int kConfigurationShard = 0;
 // Heartbeats that a server may miss before it counts as lost.
 constexpr int kMissedHeartbeats = 3;
-// The instances are completely known when every live one has had so many intervals for its heartbeat.
+// Heartbeat intervals of quorum contact after which every live instance has sent a heartbeat, so that the
+// instance table is complete.
 constexpr int kHeartbeatsUntilComplete = 2;
-// Exchange replies list the servers and sidecars that this process has seen within so long.
+// Exchange replies list the servers and sidecars that this process has seen within this time.
 constexpr Micros kLastSeenWindow = 600'000;
-// The least replication factor of a shard.
+// The minimum replication factor of a shard.
 constexpr int kMinReplicas = 3;
-// From the decision on an order or a call to the platform until it can no longer arrive. Timers fire late
-// while the event loop is busy.
+// The maximum time from the decision on an order or a platform call until it can no longer arrive: the time
+// limits for connection and response, and slack because timers fire late while the event loop is busy.
 constexpr Micros kBusyLoopSlack = 500'000;
 constexpr Micros kCallTimeLimit = 2 * duties::kCallTimeout + kBusyLoopSlack;
-// Without contact with a quorum for longer, calls that need one are rejected at once. An election takes less,
-// and calls wait for its end.
+// After this time without contact with a quorum, calls that need one are rejected at once. An election takes
+// less time, and calls wait for its end.
 constexpr Micros kElectionGrace = 1'500'000;
 
-// The ids of the first replicas are derived from the seeds.
+// The initial voters of a bootstrap replica, empty for any other replica. Their ids are derived from the
+// seeds.
 consensus::Members BootstrapVoters(const NodeSettings& settings, const consensus::ReplicaId& id) {
   consensus::Members voters;
   if (!IsBootstrapReplica(id)) return voters;
@@ -54,9 +56,9 @@
       table_(incarnation_, kMissedHeartbeats * settings.heartbeat_ms * kMicrosPerMs),
       placer_({[this](const PlacementCall& order, duties::FencingToken token) {
                  leases_.OnCall(duties::Duty::kPlacement, now_);
-                 outputs_.order(order, token);
+                 outputs_.send_order(order, token);
                },
-               outputs_.ask_report}),
+               outputs_.request_report}),
       gossip_({settings.node_name, settings.zone, settings.InternalAddress(), settings.control_plane},
               GossipOutputs()),
       shards_(stored, BootstrapVoters(settings, stored.replica_id), incarnation_, ShardOutputs(), now),
@@ -82,7 +84,7 @@
     if (peer_versions != nullptr) request.changed_instances = table_.ChangedSince(*peer_versions);
   };
   outputs.exchange = [this](const std::string& address, ExchangeRequest request) {
-    request.wants_usage = usage_sources_.count(address) == 0;
+    request.wants_usage = usage_synced_peers_.count(address) == 0;
     outputs_.exchange(address, std::move(request));
   };
   return outputs;
@@ -164,7 +166,7 @@
   Flush();
 }
 
-// ---- Servers and the operator ----
+// ---- Calls of servers and of the operator ----
 
 void ControlCore::Heartbeat(Instance instance, bool draining, Micros now, const AcceptanceCallback& done) {
   now_ = now;
@@ -180,7 +182,7 @@
 
 void ControlCore::Deregister(const std::string& id, Micros now, const AcceptanceCallback& done) {
   now_ = now;
-  if (shards_.Deregistered(id) == Phase::kDeregistered) return done(AcceptanceOfDeparture());
+  if (shards_.Deregistered(id) == Phase::kDeregistered) return done(DepartureAcceptance());
   const InstanceTable::Record* record = table_.Find(id);
   SubmitDeregistration(record == nullptr ? std::string() : record->instance.backend, id, Phase::kDeregistered,
                        done);
@@ -191,16 +193,17 @@
   if (IsIsolated()) return done(Acceptance::kUnavailable);
   const Micros announced_at = now_;
   shards_.Deregister(service, id, phase, now_, [=, this](const Result<void>& committed) {
-    const Acceptance acceptance = committed ? AcceptanceOfDeparture() : Acceptance::kUnavailable;
+    const Acceptance acceptance = committed ? DepartureAcceptance() : Acceptance::kUnavailable;
     LogDeparture(id, phase, announced_at, acceptance);
     done(acceptance);
   });
   Flush();
 }
 
-// An acknowledgement starts the time within which no request may reach the server any more. Without contact
-// no sidecar is told; the server repeats its announcement.
-ControlCore::Acceptance ControlCore::AcceptanceOfDeparture() const {
+// An acknowledgment starts the drain period, after which no request may reach the server. Without quorum
+// contact this process cannot notify its sidecars, so it does not acknowledge the departure, and the server
+// repeats its announcement.
+ControlCore::Acceptance ControlCore::DepartureAcceptance() const {
   return HasQuorumContact() ? Acceptance::kAccepted : Acceptance::kUnavailable;
 }
 
@@ -228,14 +231,15 @@
   Flush();
 }
 
-// ---- The other control processes ----
+// ---- Exchanges with other control processes ----
 
 ExchangeReply ControlCore::OnExchangeRequest(const ExchangeRequest& request, Micros now) {
   now_ = now;
   gossip_.OnPeerSeen(request.sender, now);
   gossip_.OnPeerVersions(request.sender.address, request.incarnation, request.version_vector);
-  // Changes relative to the version vector of an earlier incarnation of this process leave out what only that
-  // one knew. Merging them would advance this table's vector past the gap for good.
+  // Changes relative to the version vector of an earlier incarnation of this process omit those that only
+  // that incarnation knew. Merging them would advance this table's version vector past the missing changes,
+  // which would then never arrive.
   if (request.receiver_incarnation.empty() || request.receiver_incarnation == incarnation_)
     MergeInstances(request.changed_instances);
   shards_.OnPeerAddress(request.disk, request.sender.address);
@@ -266,9 +270,9 @@
                                   Micros now) {
   now_ = now;
   gossip_.OnExchangeEnded(address, reply.has_value(), now);
-  if (!reply) usage_sources_.erase(address);  // reports that it has passed on meanwhile may be lost
+  if (!reply) usage_synced_peers_.erase(address);  // usage that the peer forwarded meanwhile may be lost
   if (reply) {
-    usage_sources_.insert(address);
+    usage_synced_peers_.insert(address);
     gossip_.OnPeerVersions(address, reply->incarnation, reply->version_vector);
     if (reply->time_of_day)
       true_time_.OnPeerClock(address, *reply->time_of_day, gossip_.LastExchangeAt(address), now);
@@ -278,7 +282,7 @@
   Flush();
 }
 
-// Another process may not have applied a deregistration yet that is in the log here.
+// The peer may not have applied a deregistration yet that this process has already applied from the log.
 void ControlCore::MergeInstances(const std::vector<Instance>& changed) {
   table_.MergeChanges(changed, now_);
   for (const Instance& instance : changed)
@@ -300,7 +304,7 @@
   now_ = now;
   sidecars_.OnWatch(request.node, request.load_report_address, now);
   RouteDemand(request.demand);
-  if (!request.usage.reporter.empty()) TakeUsage(request.usage);
+  if (!request.usage.reporter.empty()) MergeUsage(request.usage);
   watches_.Add(std::move(request), done, WatchReadiness(), now);
   Flush();
 }
@@ -314,9 +318,9 @@
   watches_.AnswerPending(urgency, WatchReadiness(), now_);
 }
 
-// The report goes to all peers: any of them may have to report to the platform next.
-void ControlCore::TakeUsage(const UsageReport& report) {
-  if (!HasQuorumContact()) return;  // the watch is answered by an error, and the sidecar reports elsewhere
+// Forwards the report to all peers, because any of them may be the next one to report usage to the platform.
+void ControlCore::MergeUsage(const UsageReport& report) {
+  if (!HasQuorumContact()) return;  // the watch fails, and the sidecar reports to another process
   usage_counts_.Merge(report);
   gossip_.BroadcastUsage(report);
 }
@@ -339,7 +343,7 @@
     usage_reporter_.Tick(*usage_token, shards_.duties(), usage_counts_, *true_time, now_);
 }
 
-void ControlCore::OnPlatformAnswered(const duties::PlatformCall& call, int status, Micros now) {
+void ControlCore::OnPlatformResponse(const duties::PlatformCall& call, int status, Micros now) {
   now_ = now;
   const duties::PlatformAnswer answer = duties::PlatformAnswerOf(status);
   usage_reporter_.OnAnswered(std::stoll(call.subject), answer, now);
@@ -354,9 +358,9 @@
   Flush();
 }
 
-// The leader records demand, every other process forwards it. Reports come hundreds of times a second and a
-// plan costs more than a report: only models that requests wait for are planned at once, the others with the
-// next tick.
+// The leader records demand; other processes forward it to the leader. Reports arrive hundreds of times a
+// second, and a plan costs more than a report: placements are planned at once only if requests wait for a
+// model, otherwise with the next tick.
 void ControlCore::RouteDemand(const std::vector<ModelDemand>& demand) {
   if (demand.empty()) return;
   if (shards_.configuration_replica().leader()) {
@@ -376,8 +380,8 @@
   PublishInstanceChanges();
 }
 
-// Changes of the table go to the sidecars that watch here. Changes of this process also go to the other
-// control processes, for the sidecars that watch there.
+// Sends changes of the table to the sidecars that watch this process. Changes that this process made are also
+// broadcast to the other control processes, for the sidecars that watch those.
 void ControlCore::PublishInstanceChanges() {
   if (!table_.HasUpdatesFor(notified_versions_)) return;
   notified_versions_ = table_.version_vector();
--- a/src/control/core/quorum_contact.hpp
+++ b/src/control/core/quorum_contact.hpp
@@ -1,4 +1,4 @@
-// How long a control process has been in contact with a quorum, or without.
+// Tracks for how long a control process has been in contact with a quorum, or without contact.
 #ifndef VIOLETWING_CONTROL_CORE_QUORUM_CONTACT_HPP_
 #define VIOLETWING_CONTROL_CORE_QUORUM_CONTACT_HPP_
 
@@ -6,10 +6,10 @@
 
 namespace violetwing {
 
-/// Times are in microseconds of one steady clock, and greater than 0. Starts without contact.
+/// Times are in microseconds of one steady clock, and greater than 0.
 class QuorumContact {
  public:
-  /// Without contact since `now`.
+  /// Starts without contact since `now`.
   explicit QuorumContact(Micros now) : lost_at_(now) {}
 
   /// Records whether there is contact now. To be called at short intervals.
--- a/src/control/core/watch_registry.cpp
+++ b/src/control/core/watch_registry.cpp
@@ -7,19 +7,20 @@
 namespace violetwing {
 namespace {
 
-// A watch is answered at the latest after so long, whatever the caller asks for.
+// Upper limit on the wait of a watch, whatever the caller requests.
 constexpr int kMaxWaitMs = 2'000;
-// A notification for a change of instances costs each waiting sidecar a call and a new directory: the more
-// sidecars there are, the more changes go into one.
+// A notification about changed instances costs each waiting sidecar a call and a new directory. The interval
+// grows with the number of sidecars, so that each notification covers more changes.
 constexpr Micros kNotificationIntervalPerSidecar = 750;
 constexpr Micros kMinNotificationInterval = 5'000;
 constexpr Micros kMaxNotificationInterval = 100'000;
-// From this interval on, a watch that arrives between two notifications waits for the second one, also if
-// there are updates of instances. With a shorter interval the wait for the next tick would cost more than it
+// From this interval on, a watch that arrives between two notifications waits for the second one even if
+// there are instance updates. With a shorter interval the wait for the next tick would cost more than it
 // saves.
 constexpr Micros kDeferFromInterval = 50'000;
-// A configuration of hundreds of kB costs its sender and its reader milliseconds: of changes in quick
-// succession a sidecar is sent the last one.
+// Minimum interval between two configurations sent to a sidecar. A configuration of hundreds of kB costs its
+// sender and its receiver milliseconds, so a sidecar receives only the last of several changes in quick
+// succession.
 constexpr Micros kConfigurationInterval = 250'000;
 
 constexpr Micros kMicrosPerMs = 1000;
@@ -52,9 +53,9 @@
     last_notification_at_ = now;
   }
   for (auto it = pending_.begin(); it != pending_.end();) {
-    const bool over = now >= it->deadline || !readiness.has_quorum_contact;
-    const AnswerPolicy policy = over ? AnswerPolicy::kAlways : AnswerPolicy::kWithUpdates;
-    const bool answered = (over || notify) && TryAnswer(it->request, it->done, policy, readiness, now);
+    const bool must_answer = now >= it->deadline || !readiness.has_quorum_contact;
+    const AnswerPolicy policy = must_answer ? AnswerPolicy::kAlways : AnswerPolicy::kWithUpdates;
+    const bool answered = (must_answer || notify) && TryAnswer(it->request, it->done, policy, readiness, now);
     it = answered ? pending_.erase(it) : std::next(it);
   }
 }
@@ -89,14 +90,14 @@
 }
 
 WatchReply WatchRegistry::MakeReply(const WatchRequest& request, ReplyContents contents, Micros now) {
-  const bool list_is_ours = contents.complete_instances || request.incarnation == incarnation_;
+  const bool list_is_from_this_process = contents.complete_instances || request.incarnation == incarnation_;
   WatchReply reply;
-  reply.incarnation = list_is_ours ? incarnation_ : std::string();
+  reply.incarnation = list_is_from_this_process ? incarnation_ : std::string();
   reply.complete = contents.complete_instances;
   reply.configuration_version = sources_.configuration.version();
   if (contents.configuration) FillConfiguration(request, reply, now);
-  // A complete list replaces that of another process, whose version vector says nothing of what the sidecar
-  // has dropped since: the vector of the request does not apply.
+  // A complete list replaces the list of another process. The version vector of the request does not apply to
+  // it, because it does not show which instances the sidecar has dropped since.
   const VersionVector known = contents.complete_instances ? VersionVector() : request.version_vector;
   reply.changed_instances = sources_.instances.ChangedSince(known);
   reply.version_vector = sources_.instances.version_vector();
--- a/src/control/service/control_service.cpp
+++ b/src/control/service/control_service.cpp
@@ -20,9 +20,9 @@
 using nlohmann::json;
 
 constexpr auto kTickInterval = timeval{0, 50'000};
-// For responses that are still being sent when the process stops.
+// Time for responses that are still being sent when the process stops.
 constexpr std::chrono::milliseconds kShutdownGrace{300};
-// A call without progress for so long has failed: its peer may be suspended or partitioned away.
+// A call without progress for this time fails; its peer may be suspended or partitioned.
 constexpr std::chrono::milliseconds kExchangeTimeout{500};
 constexpr auto kDutyCallTimeout =
     std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::microseconds(duties::kCallTimeout));
@@ -39,7 +39,7 @@
   return out;
 }
 
-// Empty if the response is no report, or if a field is missing.
+// Empty if the response is not a report, or if a field is missing.
 std::optional<ServerReport> ParseReport(const std::string& instance, int status, const std::string& body) {
   const json in = json::parse(body, nullptr, /*allow_exceptions=*/false);
   if (status != 200 || !in.is_object()) return std::nullopt;
@@ -47,12 +47,12 @@
     return ServerReport{in.value("utilization", false), in.at("sequence").get<std::int64_t>(),
                         in.at("models").get<std::vector<HeldModel>>()};
   } catch (const json::exception& error) {
-    spdlog::warn("the report of {} cannot be read: {}", instance, error.what());
+    spdlog::warn("cannot parse the report of instance {}: {}", instance, error.what());
     return std::nullopt;
   }
 }
 
-// Empty if the response is no reply to an exchange.
+// Empty if the response is not an exchange reply.
 std::optional<ExchangeReply> DecodeReply(int status, const std::string& body) {
   if (status != 200) return std::nullopt;
   return Decode<ExchangeReply>(body);
@@ -76,7 +76,7 @@
       duty_client_(base) {}
 
 Fallible<void> ControlService::Start() {
-  if (auto opened = OpenDisk(); !opened) return opened;
+  if (auto opened = OpenStore(); !opened) return opened;
   core_ = std::make_unique<ControlCore>(settings_, incarnation_,
                                         Shards::Stored{store_.replica_id(), store_.stored()}, CoreOutputs(),
                                         SteadyMicros());
@@ -84,8 +84,8 @@
   if (auto listening = Listen(); !listening) return listening;
   if (auto started = StartStore(); !started) return started;
   StartTimers();
-  spdlog::info("control process {} of disk {} takes calls at {}", settings_.node_name, store_.replica_id(),
-               settings_.control_plane);
+  spdlog::info("control process {} with replica id {} listens on {}", settings_.node_name,
+               store_.replica_id(), settings_.control_plane);
   return Success();
 }
 
@@ -104,12 +104,13 @@
       this));
 }
 
-Fallible<void> ControlService::OpenDisk() {
+Fallible<void> ControlService::OpenStore() {
   const std::vector<std::string>& seeds = settings_.seeds;
-  const bool founder =
+  const bool is_bootstrap_seed =
       settings_.bootstrap && std::find(seeds.begin(), seeds.end(), settings_.control_plane) != seeds.end();
-  const std::string disk = founder ? BootstrapReplicaId(settings_.InternalAddress()) : "disk/" + RandomId();
-  return store_.Open(settings_.data_dir, disk);
+  const std::string replica_id =
+      is_bootstrap_seed ? BootstrapReplicaId(settings_.InternalAddress()) : "disk/" + RandomId();
+  return store_.Open(settings_.data_dir, replica_id);
 }
 
 Fallible<void> ControlService::Listen() {
@@ -140,8 +141,10 @@
   outputs.exchange = [this](const std::string& address, const ExchangeRequest& request) {
     BeginExchange(address, request);
   };
-  outputs.order = [this](const PlacementCall& order, duties::FencingToken token) { SendOrder(order, token); };
-  outputs.ask_report = [this](const PlacementCall& call) { RequestReport(call); };
+  outputs.send_order = [this](const PlacementCall& order, duties::FencingToken token) {
+    SendOrder(order, token);
+  };
+  outputs.request_report = [this](const PlacementCall& call) { RequestReport(call); };
   outputs.call_platform = [this](const duties::PlatformCall& call) { CallPlatform(call); };
   outputs.failed = [this](int shard, std::error_code error) { OnShardFailed(shard, error); };
   return outputs;
@@ -173,12 +176,12 @@
   ScheduleElection();
 }
 
-void ControlService::ScheduleBeforeTick(event* one, std::optional<std::int64_t> due) {
+void ControlService::ScheduleBeforeTick(event* timer, std::optional<std::int64_t> due) {
   if (!due) return;
   const std::int64_t wait = std::max<std::int64_t>(*due - SteadyMicros(), 0);
   if (wait >= kTickInterval.tv_usec) return;
   const timeval after{0, static_cast<suseconds_t>(wait)};
-  event_add(one, &after);
+  event_add(timer, &after);
 }
 
 void ControlService::ScheduleOrders() { ScheduleBeforeTick(orders_event_.get(), core_->NextOrderAt()); }
@@ -199,7 +202,7 @@
   for (const std::uint64_t token : store_.TakeDurable()) core_->OnWriteDurable(token, SteadyMicros());
 }
 
-// ---- Calls of the core ----
+// ---- Actions of the core ----
 
 void ControlService::BeginExchange(const std::string& address, const ExchangeRequest& request) {
   const auto done = [this, address](int status, const std::string& body) {
@@ -234,8 +237,9 @@
   call.timeout = kDutyCallTimeout;
   duty_client_.Start(call, HoldsLease(duties::Duty::kPlacement, token),
                      [this, order, load](const http::GuardedResult& result) {
-                       spdlog::debug("order to {}: {} {}/{}: {}", order.instance, load ? "load" : "unload",
-                                     order.model, order.adapter, result.status);
+                       spdlog::debug("order instance={} operation={} model={} adapter={} status={}",
+                                     order.instance, load ? "load" : "unload", order.model, order.adapter,
+                                     result.status);
                        core_->OnOrderResponse(order, result.status, SteadyMicros());
                        ScheduleOrders();
                      });
@@ -253,7 +257,7 @@
                      [this, call](const http::GuardedResult& result) {
                        spdlog::info("platform call path={} subject={} token={} status={}", call.path,
                                     call.subject, call.token, result.status);
-                       core_->OnPlatformAnswered(call, result.status, SteadyMicros());
+                       core_->OnPlatformResponse(call, result.status, SteadyMicros());
                      });
 }
 
--- a/src/control/service/control_service.hpp
+++ b/src/control/service/control_service.hpp
@@ -1,6 +1,6 @@
-// The network and disk side of a control process: carries the calls of servers, the operator, the sidecars
-// and the other control processes to the core, and the core's decisions to the network and the disk. One
-// event loop; the store has a thread of its own.
+// The I/O layer of a control process: passes the calls of servers, the operator, sidecars and other control
+// processes to the core, and carries out the core's actions on the network and the disk. Runs on one event
+// loop; the store has a thread of its own.
 #ifndef VIOLETWING_CONTROL_SERVICE_CONTROL_SERVICE_HPP_
 #define VIOLETWING_CONTROL_SERVICE_CONTROL_SERVICE_HPP_
 
@@ -33,15 +33,15 @@
   ControlService(const ControlService&) = delete;
   ControlService& operator=(const ControlService&) = delete;
 
-  /// Opens the store and listens. After an error the service is not usable: the process has to end, as its
-  /// replicas must not vote or answer by a part of what they have stored. Errors: StorageErrc, ControlErrc,
-  /// and those of the sockets.
+  /// Opens the store and starts to listen. After an error the process has to end, because its replicas must
+  /// not vote or answer based on a part of their stored state. Errors: StorageErrc, ControlErrc, and those of
+  /// the sockets.
   Fallible<void> Start();
-  /// Takes the seeds of a changed settings file; other settings need a restart.
+  /// Applies the seeds of a changed settings file; changes of other settings need a restart.
   void Reload(const NodeSettings& settings);
   /// Answers pending calls and ends the event loop after a grace period.
   void Stop();
-  /// Why the service has ended the event loop by itself, for a snapshot that cannot be read; empty otherwise.
+  /// The reason why the service has ended the event loop: a snapshot that cannot be read. Empty otherwise.
   const std::optional<Failure>& failure() const { return failure_; }
 
  private:
@@ -50,7 +50,7 @@
   };
   using EventPtr = std::unique_ptr<event, EventDeleter>;
 
-  Fallible<void> OpenDisk();
+  Fallible<void> OpenStore();
   Fallible<void> Listen();
   // Starts the store's thread, which reports durable writes through the pipe.
   Fallible<void> StartStore();
@@ -59,20 +59,22 @@
   ControlCore::Outputs CoreOutputs();
 
   void Tick();
-  // Orders that are due before the next tick are sent on time: requests wait for the models that they load.
+  // Schedules an order that is due before the next tick, because requests wait for the models that orders
+  // load.
   void ScheduleOrders();
   void OnOrdersDue();
-  // Elections that are due before the next tick begin on time.
+  // Schedules an election that is due before the next tick.
   void ScheduleElection();
   void OnElectionDue();
-  // Adds the event to be called at `due`, if that comes before the next tick.
-  static void ScheduleBeforeTick(event* one, std::optional<std::int64_t> due);
+  // Schedules `timer` for `due` if that is before the next tick.
+  static void ScheduleBeforeTick(event* timer, std::optional<std::int64_t> due);
   void OnWritesDurable();
   void BeginExchange(const std::string& address, const ExchangeRequest& request);
-  // Both leave out a call if the lease ends before the first byte of its request is written.
+  // SendOrder and CallPlatform do not send a call whose lease ends before the first byte of the request is
+  // written.
   void SendOrder(const PlacementCall& order, duties::FencingToken token);
   void CallPlatform(const duties::PlatformCall& call);
-  // Allows a call as long as this process holds the duty's lease under this token.
+  // A guard that allows a call while this process holds the duty's lease under this token.
   http::GuardedClient::Guard HoldsLease(duties::Duty duty, duties::FencingToken token) const;
   void RequestReport(const PlacementCall& call);
 
@@ -84,8 +86,8 @@
   http::Server public_api_;
   http::Server internal_api_;
   http::Client client_;
-  http::GuardedClient duty_client_;    // for calls under a lease
-  std::unique_ptr<ControlCore> core_;  // once the disk has been read
+  http::GuardedClient duty_client_;    // for calls that need a lease
+  std::unique_ptr<ControlCore> core_;  // created once the store has been read
   EventPtr tick_event_;
   EventPtr orders_event_;
   EventPtr election_event_;
--- a/src/control/service/wake_pipe.hpp
+++ b/src/control/service/wake_pipe.hpp
@@ -11,7 +11,7 @@
 namespace violetwing {
 
 /// Owns both ends, which are nonblocking. `Notify` may be called on any thread between `Open` and the
-/// destruction, the rest on one thread.
+/// destruction; all other functions on one thread.
 class WakePipe {
  public:
   WakePipe() = default;
@@ -35,14 +35,14 @@
     [[maybe_unused]] const ssize_t written = write(fds_[1], &byte, 1);
   }
 
-  /// Takes all notifications so far.
+  /// Discards all notifications so far, so that the read end is no longer readable.
   void Drain() const {
     char bytes[64];
     while (read(fds_[0], bytes, sizeof bytes) > 0) {
     }
   }
 
-  /// To be watched by the event loop; -1 before `Open`.
+  /// The file descriptor that the event loop watches; -1 before `Open`.
   int read_fd() const { return fds_[0]; }
 
  private:
--- a/tests/control/api/guarded_client_test.cpp
+++ b/tests/control/api/guarded_client_test.cpp
@@ -1,4 +1,5 @@
-// Calls that must not be late, over loopback: what leaves when the guard refuses after the call was begun.
+// Calls that must not be sent late, over loopback: what is sent if the guard refuses after the call has
+// begun. Tests named ONE cover the rule of that name in RULES.md.
 #include "control/api/guarded_client.hpp"
 
 #include <catch2/catch.hpp>
@@ -19,7 +20,7 @@
 constexpr milliseconds kTimeout{60};
 constexpr const char* kResponse = "HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}";
 
-// A listener whose connections the test reads and writes by hand.
+// A listener whose first connection the test reads and writes.
 class ScriptedPeer {
  public:
   ScriptedPeer() = default;
@@ -30,8 +31,8 @@
   ScriptedPeer& operator=(const ScriptedPeer&) = delete;
 
   const std::string& address() const { return listener_.address(); }
-  // What the first connection has brought since the last call.
-  std::string Take() {
+  // The bytes that the first connection has received since the last call.
+  std::string ReadReceived() {
     if (connection_ < 0) connection_ = accept4(listener_.socket_fd(), nullptr, nullptr, SOCK_NONBLOCK);
     char bytes[4096];
     const ssize_t size = recv(connection_, bytes, sizeof bytes, MSG_DONTWAIT);
@@ -50,7 +51,7 @@
   void operator()(event_base* owned) const { event_base_free(owned); }
 };
 
-// A client with its event loop, and the end of its latest call.
+// A client with its event loop, and the result of its latest call.
 class Caller {
  public:
   void Start(const std::string& address, GuardedClient::Guard may_send) {
@@ -66,12 +67,12 @@
       result_ = result;
     });
   }
-  // Turns of the loop until the call has ended.
-  GuardedResult AwaitEnd() {
+  // Runs the event loop until the call has ended.
+  GuardedResult AwaitResult() {
     while (!result_) event_base_loop(base_.get(), EVLOOP_ONCE);
     return *result_;
   }
-  void TurnOnce() { event_base_loop(base_.get(), EVLOOP_ONCE); }
+  void RunLoopOnce() { event_base_loop(base_.get(), EVLOOP_ONCE); }
 
  private:
   const std::unique_ptr<event_base, EventBaseDeleter> base_{event_base_new()};
@@ -83,40 +84,40 @@
 
 }  // namespace
 
-TEST_CASE("ONE: an order whose lease ends while the process stands still is not sent when it goes on") {
+TEST_CASE("ONE: an order whose lease ends while the process is suspended is not sent when it resumes") {
   ScriptedPeer server;
   Caller caller;
   const auto lease_end = std::chrono::steady_clock::now() + milliseconds(20);
   caller.Start(server.address(), [&] { return std::chrono::steady_clock::now() < lease_end; });
   std::this_thread::sleep_for(milliseconds(40));  // the kernel establishes the connection meanwhile
-  CHECK(caller.AwaitEnd().outcome == Outcome::kNotSent);
-  CHECK(server.Take().empty());
+  CHECK(caller.AwaitResult().outcome == Outcome::kNotSent);
+  CHECK(server.ReadReceived().empty());
 }
 
-TEST_CASE("ONE: an order on a kept connection is not sent once its lease has ended") {
+TEST_CASE("ONE: an order on a reused connection is not sent once its lease has ended") {
   ScriptedPeer server;
   Caller caller;
   bool holds_lease = true;
   const auto guard = [&] { return holds_lease; };
   caller.Start(server.address(), guard);
-  while (server.Take().empty()) caller.TurnOnce();
+  while (server.ReadReceived().empty()) caller.RunLoopOnce();
   server.Write(kResponse);
-  REQUIRE(caller.AwaitEnd().status == 202);
+  REQUIRE(caller.AwaitResult().status == 202);
   caller.Start(server.address(), guard);
   holds_lease = false;
-  CHECK(caller.AwaitEnd().outcome == Outcome::kNotSent);
-  CHECK(server.Take().empty());
+  CHECK(caller.AwaitResult().outcome == Outcome::kNotSent);
+  CHECK(server.ReadReceived().empty());
 }
 
-TEST_CASE("A guarded call sends method, path, headers and body, and keeps its connection for the next one") {
+TEST_CASE("A guarded call sends method, path, headers and body, and reuses its connection for the next one") {
   ScriptedPeer server;
   Caller caller;
   for (int call = 0; call < 2; ++call) {
     caller.Start(server.address(), Always);
     std::string request;
     while (request.empty()) {
-      caller.TurnOnce();
-      request = server.Take();
+      caller.RunLoopOnce();
+      request = server.ReadReceived();
     }
     CHECK(request.rfind("POST /api/order HTTP/1.1\r\n", 0) == 0);
     CHECK(request.find("X-Violetwing-Expected-Instance: i-1\r\n") != std::string::npos);
@@ -124,32 +125,32 @@
     CHECK(request.find("Host: " + server.address()) != std::string::npos);
     CHECK(request.substr(request.find("\r\n\r\n") + 4) == R"({"operation":"load_model"})");
     server.Write(kResponse);
-    const GuardedResult result = caller.AwaitEnd();
+    const GuardedResult result = caller.AwaitResult();
     CHECK(result.outcome == Outcome::kAnswered);
     CHECK(result.status == 202);
   }
 }
 
-TEST_CASE("A guarded call without a response may have arrived, one without a connection has not") {
+TEST_CASE("A guarded call without a response ends as unanswered, one without a connection as not sent") {
   Caller caller;
   ScriptedPeer server;
   caller.Start(server.address(), Always);
-  CHECK(caller.AwaitEnd().outcome == Outcome::kUnanswered);
-  CHECK_FALSE(server.Take().empty());
+  CHECK(caller.AwaitResult().outcome == Outcome::kUnanswered);
+  CHECK_FALSE(server.ReadReceived().empty());
   caller.Start("127.0.0.1:1", Always);
-  CHECK(caller.AwaitEnd().outcome == Outcome::kNotSent);
+  CHECK(caller.AwaitResult().outcome == Outcome::kNotSent);
   caller.Start("nowhere", Always);
-  CHECK(caller.AwaitEnd().outcome == Outcome::kNotSent);
+  CHECK(caller.AwaitResult().outcome == Outcome::kNotSent);
 }
 
-TEST_CASE("A response to a guarded call that cannot be read ends it as unanswered") {
+TEST_CASE("A response to a guarded call that cannot be parsed ends it as unanswered") {
   for (const std::string bytes : {"nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"}) {
     ScriptedPeer server;
     Caller caller;
     caller.Start(server.address(), Always);
-    while (server.Take().empty()) caller.TurnOnce();
+    while (server.ReadReceived().empty()) caller.RunLoopOnce();
     server.Write(bytes);
-    CHECK(caller.AwaitEnd().outcome == Outcome::kUnanswered);
+    CHECK(caller.AwaitResult().outcome == Outcome::kUnanswered);
   }
 }
 
--- a/tests/control/api/http_client_test.cpp
+++ b/tests/control/api/http_client_test.cpp
@@ -1,4 +1,5 @@
-// Requests of a control process to servers and other control processes, over loopback.
+// Requests of a control process to servers and other control processes, over loopback. The test named ONE
+// covers the rule of that name in RULES.md.
 #include "control/api/http_client.hpp"
 
 #include <event2/event.h>
@@ -14,15 +15,15 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTimeout{50};
-// More than the system takes in for a peer that does not read: some of it waits to be sent.
+// More than the socket buffers hold for a peer that does not read, so that part of it waits to be sent.
 constexpr std::size_t kLargeBody = std::size_t{8} * 1024 * 1024;
 
-// Takes connections and reads nothing until it is asked to.
+// Accepts connections, and reads nothing before EndOfConnection is called.
 class SilentPeer {
  public:
   const std::string& address() const { return listener_.address(); }
 
-  // The error with which the next connection ends, 0 for a plain end.
+  // Reads the next connection to its end. Returns the error with which it ends, 0 for an orderly close.
   int EndOfConnection() const {
     const int connection = accept(listener_.socket_fd(), nullptr, nullptr);
     char bytes[4096];
@@ -40,7 +41,8 @@
 
 }  // namespace
 
-// Otherwise the kernel may still deliver the request seconds later, when its sender may no longer lead.
+// Without the reset, the kernel may still deliver the request seconds later, when its sender may no longer be
+// the leader.
 TEST_CASE("A request that times out resets its connection, so that no part of it arrives later") {
   const std::unique_ptr<event_base, void (*)(event_base*)> base(event_base_new(), event_base_free);
   const SilentPeer peer;
@@ -48,8 +50,8 @@
   {
     Client client(base.get());
     client.Call(peer.address(), "POST", "/api/order", std::string(kLargeBody, 'x'), kTimeout,
-                [&](int got, const std::string&) {
-                  status = got;
+                [&](int received, const std::string&) {
+                  status = received;
                   event_base_loopbreak(base.get());
                 });
     event_base_dispatch(base.get());
@@ -58,7 +60,7 @@
   }
 }
 
-TEST_CASE("ONE: an order behind a call that times out does not outlive its own time limit") {
+TEST_CASE("ONE: an order sent while a call to the same server times out still ends at its own timeout") {
   const std::unique_ptr<event_base, void (*)(event_base*)> base(event_base_new(), event_base_free);
   const SilentPeer peer;
   int ended = 0;
--- a/tests/control/departures_test.cpp
+++ b/tests/control/departures_test.cpp
@@ -1,6 +1,6 @@
-// Announcements of leaving under drawn faults of control processes, in series and overlapping: how long after
-// its acknowledgement a sidecar still counts a server as ready. DEPARTURE_SEEDS sets how many lives are
-// drawn.
+// Departures of servers under random faults of control processes, both consecutive and overlapping: for how
+// long after the acknowledgment of a departure a sidecar still counts the server as ready. DEPARTURE_SEEDS
+// sets the number of simulations.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cstdlib>
@@ -20,46 +20,46 @@
 
 constexpr Micros kSecond = 1'000'000;
 constexpr std::size_t kControls = 5;
-constexpr std::size_t kTolerated = 2;
+constexpr std::size_t kToleratedFaults = 2;
 constexpr std::size_t kSidecars = 5;
 constexpr std::size_t kServers = 16;
-constexpr Micros kFaultsFor = 9 * kSecond;
-// The users' bounds: requests may reach a server for so long after its acknowledgement, and sidecars are
-// judged once control has been stable for so long. The least `drain_ms` of their deployments, less the 0.7 s
-// that a connection may take.
+constexpr Micros kFaultPeriod = 9 * kSecond;
+// A bound of the users: for this time after the acknowledgment of its departure, requests may still reach a
+// server. The smallest `drain_ms` of their deployments, less the 0.7 s that a connection may take.
 constexpr Micros kDrainBound = 2'000'000 - 700'000;
+// Likewise: sidecars have to meet the bound once no control process has had a fault for this time.
 constexpr Micros kStableAfter = 5 * kSecond;
 
-int Seeds() {
-  const char* set = std::getenv("DEPARTURE_SEEDS");
-  return set == nullptr ? 12 : std::atoi(set);
+int SeedCount() {
+  const char* value = std::getenv("DEPARTURE_SEEDS");
+  return value == nullptr ? 12 : std::atoi(value);
 }
 
-// One life: servers leave one after the other while control processes end, stand still, are cut off or have
-// hanging disks.
-class Life {
+// One simulation: servers announce their departure one after the other while control processes end, freeze,
+// are partitioned or have stalled disks.
+class DepartureSimulation {
  public:
-  explicit Life(std::uint64_t seed) : system_(kControls, kSidecars, seed), random_(seed) {
+  explicit DepartureSimulation(std::uint64_t seed) : system_(kControls, kSidecars, seed), random_(seed) {
     for (std::size_t i = 0; i < kServers; ++i) {
       const std::string name = std::to_string(i);
       servers_.emplace_back(system_, "i-" + name, "10.1.0." + name + ":80", i);
     }
   }
 
-  void Play() {
+  void Run() {
     Configure();
     RunFor(5 * kSecond);
     REQUIRE(ReadyAt(0) == kServers);
-    for (const Micros until = system_.now() + kFaultsFor; system_.now() < until;) {
+    for (const Micros until = system_.now() + kFaultPeriod; system_.now() < until;) {
       BeginFault();
-      servers_[next_to_leave_++ % kServers].Drain();
-      RunFor(100'000 + Draw(600'000));
+      servers_[next_departure_++ % kServers].Drain();
+      RunFor(100'000 + RandomBelow(600'000));
     }
     RunFor(2 * kStableAfter);
   }
 
-  int late() const { return late_; }
-  Micros longest() const { return longest_; }
+  int late_observations() const { return late_observations_; }
+  Micros longest_delay() const { return longest_delay_; }
   int acknowledged() const {
     return static_cast<int>(std::count_if(servers_.begin(), servers_.end(),
                                           [](const auto& server) { return server.drain_acknowledged(); }));
@@ -70,7 +70,9 @@
   }
 
  private:
-  Micros Draw(Micros bound) { return static_cast<Micros>(random_.Below(static_cast<std::uint64_t>(bound))); }
+  Micros RandomBelow(Micros bound) {
+    return static_cast<Micros>(random_.Below(static_cast<std::uint64_t>(bound)));
+  }
 
   void Configure() {
     bool answered = false;
@@ -83,33 +85,34 @@
 
   void RunFor(Micros span) {
     for (const Micros until = system_.now() + span; system_.now() < until;) {
-      for (AnnouncingServer& server : servers_) server.Turn();
+      for (AnnouncingServer& server : servers_) server.Step();
       system_.Run(VirtualSystem::kStep);
       EndFaults();
-      if (system_.now() % 100'000 == 0) Look();
+      if (system_.now() % 100'000 == 0) ObserveSidecars();
     }
   }
 
-  // A fault of a machine that has none, as long as no more than the tolerated number have one.
+  // Begins a fault of a random machine, unless that machine already has a fault or the tolerated number of
+  // machines have.
   void BeginFault() {
-    const auto machine = static_cast<std::size_t>(Draw(kControls));
-    if (faulty_.size() >= kTolerated || faulty_.count(machine) > 0) return;
+    const auto machine = static_cast<std::size_t>(RandomBelow(kControls));
+    if (faulty_.size() >= kToleratedFaults || faulty_.count(machine) > 0) return;
     faulty_.insert(machine);
-    const Micros span = 200'000 + Draw(3 * kSecond);
+    const Micros span = 200'000 + RandomBelow(3 * kSecond);
     last_fault_at_ = system_.now() + span;
-    switch (Draw(4)) {
+    switch (RandomBelow(4)) {
       case 0:
         system_.Kill(machine);
-        return EndAfter(span, machine, [this, machine] { system_.Start(machine); });
+        return EndFaultAfter(span, machine, [this, machine] { system_.Start(machine); });
       case 1:
         system_.Freeze(machine, span);
-        return EndAfter(span, machine, [] {});
+        return EndFaultAfter(span, machine, [] {});
       case 2:
         system_.StallDisk(machine, span);
-        return EndAfter(span, machine, [] {});
+        return EndFaultAfter(span, machine, [] {});
       default:
         system_.IsolateFromPeers(machine);
-        return EndAfter(span, machine, [this] { system_.Heal(); });
+        return EndFaultAfter(span, machine, [this] { system_.Heal(); });
     }
   }
 
@@ -118,7 +121,7 @@
     std::size_t machine = 0;
     std::function<void()> act;
   };
-  void EndAfter(Micros span, std::size_t machine, std::function<void()> act) {
+  void EndFaultAfter(Micros span, std::size_t machine, std::function<void()> act) {
     ends_.push_back({system_.now() + span, machine, std::move(act)});
   }
   void EndFaults() {
@@ -135,49 +138,49 @@
     return system_.sidecar(sidecar).view->MakeDirectory()->Servers("s").size();
   }
 
-  // Which sidecars still count a server as ready that was acknowledged to leave.
-  void Look() {
+  // Finds the sidecars that still count a server as ready after its departure was acknowledged.
+  void ObserveSidecars() {
     for (std::size_t i = 0; i < system_.sidecars(); ++i) {
       const DirectoryPtr directory = system_.sidecar(i).view->MakeDirectory();
-      for (const AnnouncingServer& server : servers_) Look(*directory, server);
+      for (const AnnouncingServer& server : servers_) ObserveServer(*directory, server);
     }
   }
-  void Look(const Directory& directory, const AnnouncingServer& server) {
+  void ObserveServer(const Directory& directory, const AnnouncingServer& server) {
     if (!server.acknowledged_at()) return;
     const Instance* known = directory.Find(server.id());
     if (known == nullptr || known->phase != Phase::kReady) return;
-    const Micros since = system_.now() - *server.acknowledged_at();
-    longest_ = std::max(longest_, since);
-    late_ += since > kDrainBound && system_.now() - last_fault_at_ > kStableAfter;
+    const Micros delay = system_.now() - *server.acknowledged_at();
+    longest_delay_ = std::max(longest_delay_, delay);
+    late_observations_ += delay > kDrainBound && system_.now() - last_fault_at_ > kStableAfter;
   }
 
   VirtualSystem system_;
   Random random_;
   std::deque<AnnouncingServer> servers_;
-  std::size_t next_to_leave_ = 0;
+  std::size_t next_departure_ = 0;
   std::set<std::size_t> faulty_;
   std::vector<FaultEnd> ends_;
   Micros last_fault_at_ = 0;
-  int late_ = 0;
-  Micros longest_ = 0;
+  int late_observations_ = 0;
+  Micros longest_delay_ = 0;
 };
 
 }  // namespace
 
-TEST_CASE("DRAIN: under drawn faults every sidecar knows in time of an acknowledged departure") {
+TEST_CASE("DRAIN: under random faults every sidecar learns of an acknowledged departure in time") {
   Micros longest = 0;
   int acknowledged = 0;
-  for (int seed = 1; seed <= Seeds(); ++seed) {
+  for (int seed = 1; seed <= SeedCount(); ++seed) {
     INFO("seed " << seed);
-    Life life(static_cast<std::uint64_t>(seed));
-    life.Play();
-    CHECK(life.late() == 0);
-    CHECK(life.acknowledged() == life.announced());
-    longest = std::max(longest, life.longest());
-    acknowledged += life.acknowledged();
+    DepartureSimulation simulation(static_cast<std::uint64_t>(seed));
+    simulation.Run();
+    CHECK(simulation.late_observations() == 0);
+    CHECK(simulation.acknowledged() == simulation.announced());
+    longest = std::max(longest, simulation.longest_delay());
+    acknowledged += simulation.acknowledged();
   }
-  WARN(acknowledged << " departures; longest until all sidecars knew, faults included: " << longest / 1000
-                    << " ms");
+  WARN(acknowledged << " departures; longest delay until all sidecars knew, during faults too: "
+                    << longest / 1000 << " ms");
 }
 
 }  // namespace violetwing
--- a/tests/control/digest_test.cpp
+++ b/tests/control/digest_test.cpp
@@ -1,6 +1,6 @@
-// Digests of what the control processes and the routing decisions do over drawn schedules. A change that is
-// meant to keep the behavior (a rename, a split of a file) leaves every figure below as it is; one that is
-// meant to change it states the new figures, and why, in its commit.
+// Digests of the behavior of control processes and of routing decisions over random schedules. A change that
+// is meant to keep the behavior (a rename, a split of a file) leaves every digest below unchanged; a change
+// that is meant to alter it states the new digests, and why, in its commit.
 #include <xxhash.h>
 
 #include <catch2/catch.hpp>
@@ -79,34 +79,34 @@
   kLoss,
   kDuplication,
   kDelay,
-  kDamage,
+  kTruncation,
   kKill,
   kPowerOff,
   kFreeze,
   kDiskStall,
-  kCut,
-  kCoreCut,
+  kIsolation,
+  kPeerIsolation,
   kCount
 };
 
-// One drawn life of a system: an operator who changes the configuration, servers that load models and
-// leave, sidecars that report demand, and one kind of fault, which comes several times.
-class DrawnLife {
+// One random simulation of a system: an operator changes the configuration, servers load models and leave,
+// sidecars report demand, and one kind of fault occurs several times.
+class RandomSimulation {
  public:
-  DrawnLife(std::uint64_t seed, Digest& digest)
+  RandomSimulation(std::uint64_t seed, Digest& digest)
       : fault_(static_cast<Fault>(seed % static_cast<std::uint64_t>(Fault::kCount))),
         random_(seed, "digest"),
         digest_(digest),
         system_(seed % 3 == 0 ? 5 : 3, 2, seed) {
     for (int i = 0; i < kServers; ++i) servers_["i-" + std::to_string(i)];
-    Observe();
+    InstallObservers();
   }
 
   void Run() {
     constexpr int kRounds = 40;
     for (int round = 0; round < kRounds; ++round) {
       if (round % 4 == 0) Change();
-      if (round % 8 == 3) Disturb();
+      if (round % 8 == 3) InjectFault();
       if (round == kRounds / 2) servers_.begin()->second.draining = true;
       for (auto& [id, server] : servers_) Heartbeat(id, server);
       ReportDemand();
@@ -128,7 +128,7 @@
     std::vector<HeldModel> models;
   };
 
-  void Observe() {
+  void InstallObservers() {
     system_.on_message = [this](const WireMessage& message) {
       digest_.Add(message.path);
       digest_.Add(message.is_response ? 1 : 0);
@@ -142,7 +142,7 @@
     system_.on_order = [this](std::size_t control, const PlacementCall& call, consensus::Term token) {
       digest_.Add(static_cast<std::int64_t>(token));
       AddCall(digest_, call);
-      TakeOrder(control, call);
+      ExecuteOrder(control, call);
     };
     system_.on_report_request = [this](std::size_t control, const PlacementCall& call) {
       AddCall(digest_, call);
@@ -153,17 +153,17 @@
           system_.control(control).core->OnServerReport(id, report, system_.now());
       });
     };
-    if (fault_ > Fault::kDamage) return;
+    if (fault_ > Fault::kTruncation) return;
     system_.tamper = [this](WireMessage& message) {
       if (fault_ == Fault::kNone || random_.Below(12) != 0) return;
       if (fault_ == Fault::kLoss) message.copies = 0;
       if (fault_ == Fault::kDuplication) message.copies = 2;
       if (fault_ == Fault::kDelay) message.extra_delay = static_cast<std::int64_t>(random_.Below(900'000));
-      if (fault_ == Fault::kDamage) message.body.resize(random_.Below(message.body.size() + 1));
+      if (fault_ == Fault::kTruncation) message.body.resize(random_.Below(message.body.size() + 1));
     };
   }
 
-  void TakeOrder(std::size_t control, const PlacementCall& call) {
+  void ExecuteOrder(std::size_t control, const PlacementCall& call) {
     Server& server = servers_[call.instance];
     ++server.revision;
     std::erase_if(server.models, [&](const HeldModel& held) { return held.name == call.model; });
@@ -184,10 +184,10 @@
     return document.dump();
   }
 
-  std::size_t DrawControl() { return random_.Below(system_.controls()); }
+  std::size_t RandomControl() { return random_.Below(system_.controls()); }
 
   void Call(const std::string& method, const std::string& path, const std::string& body, std::int64_t base) {
-    system_.CallPublic(DrawControl(), method, path, body, base,
+    system_.CallPublic(RandomControl(), method, path, body, base,
                        [this](int status, const std::string& answer) {
                          digest_.Add(status);
                          digest_.Add(answer);
@@ -209,7 +209,7 @@
   }
 
   void ReportDemand() {
-    const std::size_t control = DrawControl();
+    const std::size_t control = RandomControl();
     if (!system_.IsRunning(control)) return;
     const std::string model = "m" + std::to_string(random_.Below(kModels));
     const ModelDemand demand{"s", model, 1.0 + static_cast<double>(random_.Below(5)), 400.0,
@@ -217,15 +217,15 @@
     system_.control(control).core->OnDemand({demand}, system_.now());
   }
 
-  void Disturb() {
-    const std::size_t victim = DrawControl();
+  void InjectFault() {
+    const std::size_t victim = RandomControl();
     const auto span = static_cast<std::int64_t>(random_.Below(2 * kSecond));
     if (fault_ == Fault::kKill && system_.IsRunning(victim)) system_.Kill(victim);
     if (fault_ == Fault::kPowerOff && system_.IsRunning(victim)) system_.PowerOff(victim);
     if (fault_ == Fault::kFreeze) system_.Freeze(victim, span);
     if (fault_ == Fault::kDiskStall) system_.StallDisk(victim, span);
-    if (fault_ == Fault::kCut) system_.Isolate(victim);
-    if (fault_ == Fault::kCoreCut) system_.IsolateFromPeers(victim);
+    if (fault_ == Fault::kIsolation) system_.Isolate(victim);
+    if (fault_ == Fault::kPeerIsolation) system_.IsolateFromPeers(victim);
   }
 
   void Recover() {
@@ -242,8 +242,8 @@
   std::int64_t version_ = 0;
 };
 
-// The replicas alone, with their messages in the form of the wire, and every kind of fault that the cluster
-// has.
+// Replicas without the rest of a control process, with their messages as encoded on the wire and every kind
+// of fault that the simulated cluster has.
 void AddCluster(std::uint64_t seed, Digest& digest) {
   consensus::Cluster cluster(5, 3, seed);
   cluster.drop_probability = seed % 3 == 0 ? 0.05 : 0;
@@ -272,7 +272,7 @@
   digest.Add(cluster.Describe());
 }
 
-// The choice of servers over drawn requests, their ends, loads and reports.
+// The choice of servers for random requests, with their results, the servers' loads and load reports.
 void AddChoices(std::uint64_t seed, Digest& digest) {
   constexpr int kRequests = 400;
   const Directory directory = testing::ModelServers(10, static_cast<int>(seed % 3), 3);
@@ -280,7 +280,7 @@
   load_balancer.SetLocality("zone", [](const std::string& id) { return id.back() % 2 == 0; });
   Random random(seed, "choices");
   std::int64_t now = kSecond;
-  std::vector<std::pair<std::string, RequestAttributes>> open;
+  std::vector<std::pair<std::string, RequestAttributes>> in_flight;
   std::vector<PromptPart> parts{{"p", 300}, {"q", 200}};
   for (int i = 0; i < kRequests; ++i) {
     now += static_cast<std::int64_t>(random.Below(80'000));
@@ -292,12 +292,12 @@
     digest.Add(server == nullptr ? std::string() : server->id);
     if (server != nullptr) {
       load_balancer.OnSent(server->id, attributes, now);
-      open.emplace_back(server->id, attributes);
+      in_flight.emplace_back(server->id, attributes);
     }
-    if (open.size() < 4) continue;
-    const std::size_t at = random.Below(open.size());
-    const auto [id, sent] = open[at];
-    open.erase(open.begin() + static_cast<std::ptrdiff_t>(at));
+    if (in_flight.size() < 4) continue;
+    const std::size_t at = random.Below(in_flight.size());
+    const auto [id, sent] = in_flight[at];
+    in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(at));
     const bool answered = random.Below(4) != 0;
     if (answered)
       load_balancer.OnFirstByte(
@@ -315,7 +315,7 @@
 
 TEST_CASE("Digest: control processes, their messages, writes, answers and orders") {
   Digest digest;
-  for (std::uint64_t seed = 1; seed <= kSystemSeeds; ++seed) DrawnLife(seed, digest).Run();
+  for (std::uint64_t seed = 1; seed <= kSystemSeeds; ++seed) RandomSimulation(seed, digest).Run();
   CHECK(digest.value() == kSystemDigest);
 }
 
--- a/tests/control/system_test.cpp
+++ b/tests/control/system_test.cpp
@@ -1,5 +1,6 @@
-// Three control processes and two sidecars on a virtual clock: what is acknowledged reaches all, whichever
-// single message is lost, duplicated, delayed or damaged, and whichever process ends or is suspended.
+// Three control processes and two sidecars on a virtual clock: acknowledged state reaches all of them,
+// whichever single message is lost, duplicated, delayed or damaged, and whichever process ends or is
+// suspended.
 #include <catch2/catch.hpp>
 #include <memory>
 #include <nlohmann/json.hpp>
@@ -25,7 +26,8 @@
 constexpr int kTimeoutMs = 1000;
 constexpr int kConfigurationShard = 0;
 
-// Sends one change until it has a clear answer, as the operator does: to the next process after each failure.
+// Sends one change until it has a definite response, as the operator does: after each failure to the next
+// process.
 class Operator {
  public:
   Operator(VirtualSystem& system, std::int64_t version, std::int64_t base, std::size_t first, int routes = 0)
@@ -52,23 +54,23 @@
   const std::shared_ptr<int> status_ = std::make_shared<int>(0);
 };
 
-// A system with two servers; the stages of one short life of it.
-class Play {
+// A system with two servers, and the steps of a scenario.
+class SystemScenario {
  public:
-  explicit Play(std::uint64_t seed = 1)
+  explicit SystemScenario(std::uint64_t seed = 1)
       : system(3, 2, seed),
-        stays_(system, "i-stays", "10.1.0.1:80"),
-        leaves_(system, "i-leaves", "10.1.0.2:80") {}
+        remaining_server_(system, "i-stays", "10.1.0.1:80"),
+        departing_server_(system, "i-leaves", "10.1.0.2:80") {}
 
-  // Runs until `done` holds; fails the test if it does not within `most`.
-  void Await(const std::string& what, const std::function<bool()>& done, Micros most = 10 * kSecond) {
+  // Runs until `done` holds; fails the test if it does not within `max_duration`.
+  void Await(const std::string& what, const std::function<bool()>& done, Micros max_duration = 10 * kSecond) {
     const bool held = system.RunUntil(
         [&] {
-          stays_.Turn();
-          leaves_.Turn();
+          remaining_server_.Step();
+          departing_server_.Step();
           return done();
         },
-        most);
+        max_duration);
     INFO("awaited: " << what);
     CHECK(held);
   }
@@ -91,8 +93,8 @@
     });
   }
   void Drain() {
-    leaves_.Drain();
-    Await("the drain's acknowledgement", [&] { return leaves_.drain_acknowledged(); });
+    departing_server_.Drain();
+    Await("the drain's acknowledgment", [&] { return departing_server_.drain_acknowledged(); });
     AwaitServers(1);
   }
   // A process that does not lead the configuration's shard.
@@ -101,8 +103,9 @@
     while (system.control(i).core->shards().configuration_replica().leader()) ++i;
     return i;
   }
-  // The whole life: a configuration, servers, a drain, another configuration, and all agree.
-  void Whole() {
+  // The complete scenario: a configuration, two servers, a drain and another configuration, until all
+  // processes agree.
+  void RunAllSteps() {
     Configure(3, 0);
     AwaitServers(2);
     Drain();
@@ -118,84 +121,86 @@
   VirtualSystem system;
 
  private:
-  AnnouncingServer stays_;
-  AnnouncingServer leaves_;
+  AnnouncingServer remaining_server_;
+  AnnouncingServer departing_server_;
 };
 
 const char* const kPaths[] = {kExchangePath, kWatchPath};
-// Changes the n-th message of a path and direction. Early messages elect and join, later ones carry the
-// changes and the drain.
-constexpr int kPlaces[] = {0, 1, 2, 5, 12, 25, 60};
-
-void PlayTampered(const std::string& path, bool answer, int at,
-                  const std::function<void(WireMessage&)>& change) {
-  INFO(path << (answer ? " answer " : " call ") << at);
-  Play play;
+// Indexes of the tampered messages among those of one path and direction. Early messages elect and join,
+// later ones carry the changes and the drain.
+constexpr int kMessageIndexes[] = {0, 1, 2, 5, 12, 25, 60};
+
+void RunTampered(const std::string& path, bool is_response, int index,
+                 const std::function<void(WireMessage&)>& change) {
+  INFO(path << (is_response ? " response " : " call ") << index);
+  SystemScenario scenario;
   int seen = 0;
-  play.system.tamper = [&](WireMessage& message) {
-    if (message.path == path && message.is_response == answer && seen++ == at) change(message);
+  scenario.system.tamper = [&](WireMessage& message) {
+    if (message.path == path && message.is_response == is_response && seen++ == index) change(message);
   };
-  play.Whole();
-  // Late ones come after that; all goes on behind them.
-  play.Await(
-      "the message that is changed", [&] { return seen > at; }, 30 * kSecond);
-  play.Configure(12, 8, 2);
-  CHECK(play.system.violations().empty());
+  scenario.RunAllSteps();
+  // Messages with a high index come after these steps. The system must still accept a change after them.
+  scenario.Await(
+      "the tampered message", [&] { return seen > index; }, 30 * kSecond);
+  scenario.Configure(12, 8, 2);
+  CHECK(scenario.system.violations().empty());
 }
 
 }  // namespace
 
 TEST_CASE("System: each sidecar receives the addresses of its neighbors") {
-  Play play;
-  play.Configure(3, 0);
-  play.Await("the other sidecar's address", [&] {
-    return play.system.sidecar(0).view->neighbors() == std::vector<std::string>{"edge-1:1"} &&
-           play.system.sidecar(1).view->neighbors() == std::vector<std::string>{"edge-0:1"};
+  SystemScenario scenario;
+  scenario.Configure(3, 0);
+  scenario.Await("the other sidecar's address", [&] {
+    return scenario.system.sidecar(0).view->neighbors() == std::vector<std::string>{"edge-1:1"} &&
+           scenario.system.sidecar(1).view->neighbors() == std::vector<std::string>{"edge-0:1"};
   });
 }
 
 TEST_CASE("System: a change, heartbeats and a drain reach all sidecars") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
-    Play play(seed);
-    play.Whole();
+    SystemScenario scenario(seed);
+    scenario.RunAllSteps();
   }
 }
 
 TEST_CASE("System: the loss, duplication or delay of one message of any kind loses no acknowledged state") {
   for (const char* path : kPaths)
-    for (const bool answer : {false, true})
-      for (const int at : kPlaces) {
-        PlayTampered(path, answer, at, [](WireMessage& message) { message.copies = 0; });
-        PlayTampered(path, answer, at, [](WireMessage& message) { message.copies = 2; });
-        PlayTampered(path, answer, at, [](WireMessage& message) { message.extra_delay = 300'000; });
-        PlayTampered(path, answer, at, [](WireMessage& message) { message.extra_delay = 2 * kSecond; });
-        PlayTampered(path, answer, at,
-                     [](WireMessage& message) { message.body.resize(message.body.size() / 2); });
+    for (const bool is_response : {false, true})
+      for (const int index : kMessageIndexes) {
+        RunTampered(path, is_response, index, [](WireMessage& message) { message.copies = 0; });
+        RunTampered(path, is_response, index, [](WireMessage& message) { message.copies = 2; });
+        RunTampered(path, is_response, index, [](WireMessage& message) { message.extra_delay = 300'000; });
+        RunTampered(path, is_response, index,
+                    [](WireMessage& message) { message.extra_delay = 2 * kSecond; });
+        RunTampered(path, is_response, index,
+                    [](WireMessage& message) { message.body.resize(message.body.size() / 2); });
       }
 }
 
 TEST_CASE(
     "System: a missing field or one of another type in one message of any kind loses no acknowledged state") {
-  const wire::ExchangeRequest exchange;
-  const wire::ExchangeReply exchanged;
-  const wire::PullRequest pull;
-  const wire::PullReply pulled;
-  struct Kind {
+  const wire::ExchangeRequest exchange_request;
+  const wire::ExchangeReply exchange_reply;
+  const wire::PullRequest watch_request;
+  const wire::PullReply watch_reply;
+  struct MessageKind {
     const char* path;
-    bool answer;
-    const google::protobuf::Message& form;
+    bool is_response;
+    const google::protobuf::Message& prototype;
   };
-  for (const Kind& kind : {Kind{kExchangePath, false, exchange}, Kind{kExchangePath, true, exchanged},
-                           Kind{kWatchPath, false, pull}, Kind{kWatchPath, true, pulled}})
-    for (const auto* field : testing::FieldsOf(kind.form))
-      for (const int at : {1, 12, 40}) {
+  for (const MessageKind& kind :
+       {MessageKind{kExchangePath, false, exchange_request}, MessageKind{kExchangePath, true, exchange_reply},
+        MessageKind{kWatchPath, false, watch_request}, MessageKind{kWatchPath, true, watch_reply}})
+    for (const auto* field : testing::FieldsOf(kind.prototype))
+      for (const int index : {1, 12, 40}) {
         INFO("field " << field->full_name());
-        PlayTampered(kind.path, kind.answer, at, [&](WireMessage& message) {
-          message.body = testing::Without(kind.form, field, message.body);
+        RunTampered(kind.path, kind.is_response, index, [&](WireMessage& message) {
+          message.body = testing::Without(kind.prototype, field, message.body);
         });
-        PlayTampered(kind.path, kind.answer, at, [&](WireMessage& message) {
-          message.body = testing::WithOtherType(kind.form, field, message.body);
+        RunTampered(kind.path, kind.is_response, index, [&](WireMessage& message) {
+          message.body = testing::WithOtherType(kind.prototype, field, message.body);
         });
       }
 }
@@ -204,138 +209,143 @@
   for (Micros after = 0; after <= 60'000; after += VirtualSystem::kStep)
     for (const bool power : {false, true}) {
       INFO("ends after " << after << " us" << (power ? ", without power" : ""));
-      Play play;
-      play.Configure(3, 0);
-      const Operator change(play.system, 8, 3, 0);
-      play.system.Run(after);
-      power ? play.system.PowerOff(0) : play.system.Kill(0);
-      play.Await("an answer", [&] { return change.Answered(); });
+      SystemScenario scenario;
+      scenario.Configure(3, 0);
+      const Operator change(scenario.system, 8, 3, 0);
+      scenario.system.Run(after);
+      power ? scenario.system.PowerOff(0) : scenario.system.Kill(0);
+      scenario.Await("an answer", [&] { return change.Answered(); });
       CHECK(change.status() == 200);
-      play.system.Start(0);
-      play.Await("version 8 at the process that ended",
-                 [&] { return play.system.control(0).core->configuration().version() == 8; });
-      // Another one on the same version comes too late, wherever it is sent.
-      const Operator other(play.system, 9, 3, 0);
-      play.Await("an answer to the other", [&] { return other.Answered(); });
+      scenario.system.Start(0);
+      scenario.Await("version 8 at the process that ended",
+                     [&] { return scenario.system.control(0).core->configuration().version() == 8; });
+      // Another change based on the same version is rejected, wherever it is sent.
+      const Operator other(scenario.system, 9, 3, 0);
+      scenario.Await("an answer to the other", [&] { return other.Answered(); });
       CHECK(other.status() == 412);
-      CHECK(play.system.violations().empty());
+      CHECK(scenario.system.violations().empty());
     }
 }
 
-// Entries after the snapshot are applied again at the start, with no word to the others meanwhile.
+// At the start, log entries after the snapshot are applied again, and the process sends nothing to the others
+// meanwhile.
 TEST_CASE("System: a restart after many large changes replays few log entries") {
   constexpr int kRoutes = 600;
   constexpr std::int64_t kChanges = 30;
-  // Eight changes of 68 kB, 107 kB each as entries; the next snapshot may be on its way to the disk.
-  constexpr std::size_t kMostWork = std::size_t{1024} * 1024;
-  Play play;
+  // Eight changes of 68 kB, each an entry of 107 kB; the write of the next snapshot may still be in progress.
+  constexpr std::size_t kMaxReplayBytes = std::size_t{1024} * 1024;
+  SystemScenario scenario;
   for (std::int64_t version = 1; version <= kChanges; ++version)
-    play.Configure(version, version - 1, 0, kRoutes);
-  for (std::size_t i = 0; i < play.system.controls(); ++i) play.system.Kill(i);
-  for (std::size_t i = 0; i < play.system.controls(); ++i) {
-    std::size_t work = 0;
-    for (const consensus::Entry& entry : play.system.control(i).stored.at(0).entries)
-      work += entry.command.size();
-    CHECK(work < kMostWork);
-    play.system.Start(i);
+    scenario.Configure(version, version - 1, 0, kRoutes);
+  for (std::size_t i = 0; i < scenario.system.controls(); ++i) scenario.system.Kill(i);
+  for (std::size_t i = 0; i < scenario.system.controls(); ++i) {
+    std::size_t replay_bytes = 0;
+    for (const consensus::Entry& entry : scenario.system.control(i).stored.at(0).entries)
+      replay_bytes += entry.command.size();
+    CHECK(replay_bytes < kMaxReplayBytes);
+    scenario.system.Start(i);
   }
-  play.Configure(kChanges + 1, kChanges, 0, kRoutes);
-  CHECK(play.system.violations().empty());
+  scenario.Configure(kChanges + 1, kChanges, 0, kRoutes);
+  CHECK(scenario.system.violations().empty());
 }
 
 TEST_CASE("System: a forwarded change that is lost is forwarded again within the same call") {
-  Play play;
-  play.Configure(3, 0);
+  SystemScenario scenario;
+  scenario.Configure(3, 0);
   bool lost = false;
-  play.system.tamper = [&](WireMessage& message) {
+  scenario.system.tamper = [&](WireMessage& message) {
     if (lost || message.path != kExchangePath || message.is_response) return;
     if (Decode<ExchangeRequest>(message.body).value().proposals.empty()) return;
     lost = true;
     message.copies = 0;
   };
   int status = 0;
-  const Micros call_timeout = std::exchange(play.system.call_timeout, 2 * kSecond);
-  play.system.CallPublic(play.Follower(), "PUT", "/api/configuration", Document(8, kTimeoutMs, 0), 3,
-                         [&](int got, const std::string&) { status = got; });
-  play.system.call_timeout = call_timeout;
-  play.Await("an answer", [&] { return status != 0; });
+  const Micros call_timeout = std::exchange(scenario.system.call_timeout, 2 * kSecond);
+  scenario.system.CallPublic(scenario.Follower(), "PUT", "/api/configuration", Document(8, kTimeoutMs, 0), 3,
+                             [&](int received, const std::string&) { status = received; });
+  scenario.system.call_timeout = call_timeout;
+  scenario.Await("an answer", [&] { return status != 0; });
   CHECK(lost);
   CHECK(status == 200);
 }
 
-// Each process proposed it anew, and the leader wrote and sent it as often.
+// Guards against a fault in which each process proposed the change again, so that the leader wrote and sent
+// it several times.
 TEST_CASE(
     "System: a change sent to all processes at once becomes one log entry, and every caller is "
     "acknowledged") {
-  Play play;
-  play.Configure(3, 0);
-  const auto last = [&] {
-    consensus::Index most = 0;
-    for (std::size_t i = 0; i < play.system.controls(); ++i)
-      most = std::max(most, play.system.control(i).core->shards().configuration_replica().last());
-    return most;
+  SystemScenario scenario;
+  scenario.Configure(3, 0);
+  const auto last_index = [&] {
+    consensus::Index highest = 0;
+    for (std::size_t i = 0; i < scenario.system.controls(); ++i)
+      highest = std::max(highest, scenario.system.control(i).core->shards().configuration_replica().last());
+    return highest;
   };
-  const consensus::Index before = last();
+  const consensus::Index before = last_index();
   std::vector<std::unique_ptr<Operator>> operators;
-  for (std::size_t i = 0; i < play.system.controls(); ++i)
-    operators.push_back(std::make_unique<Operator>(play.system, 8, 3, i, 1400));
-  play.Await("all answers", [&] {
-    return std::all_of(operators.begin(), operators.end(), [](const auto& one) { return one->Answered(); });
+  for (std::size_t i = 0; i < scenario.system.controls(); ++i)
+    operators.push_back(std::make_unique<Operator>(scenario.system, 8, 3, i, 1400));
+  scenario.Await("all answers", [&] {
+    return std::all_of(operators.begin(), operators.end(),
+                       [](const auto& sender) { return sender->Answered(); });
   });
-  for (const auto& one : operators) CHECK(one->status() == 200);
-  CHECK(last() == before + 1);
-  CHECK(play.system.violations().empty());
+  for (const auto& sender : operators) CHECK(sender->status() == 200);
+  CHECK(last_index() == before + 1);
+  CHECK(scenario.system.violations().empty());
 }
 
 TEST_CASE("System: a large change in flight is acknowledged although the leader ends") {
   for (Micros after = VirtualSystem::kStep; after <= 60'000; after += VirtualSystem::kStep) {
     INFO("ends after " << after << " us");
-    Play play;
-    play.Configure(3, 0);
-    const std::size_t follower = play.Follower();
+    SystemScenario scenario;
+    scenario.Configure(3, 0);
+    const std::size_t follower = scenario.Follower();
     std::size_t leader = 0;
-    while (!play.system.control(leader).core->shards().configuration_replica().leader()) ++leader;
-    const Operator change(play.system, 8, 3, follower, 1400);
-    play.system.Run(after);
-    play.system.PowerOff(leader);
-    play.Await("an answer", [&] { return change.Answered(); });
+    while (!scenario.system.control(leader).core->shards().configuration_replica().leader()) ++leader;
+    const Operator change(scenario.system, 8, 3, follower, 1400);
+    scenario.system.Run(after);
+    scenario.system.PowerOff(leader);
+    scenario.Await("an answer", [&] { return change.Answered(); });
     CHECK(change.status() == 200);
-    play.system.Start(leader);
-    play.Await("version 8 at all sidecars",
-               [&] { return play.AllSidecars([](const SystemView& view) { return view.version() == 8; }); });
-    CHECK(play.system.violations().empty());
+    scenario.system.Start(leader);
+    scenario.Await("version 8 at all sidecars", [&] {
+      return scenario.AllSidecars([](const SystemView& view) { return view.version() == 8; });
+    });
+    CHECK(scenario.system.violations().empty());
   }
 }
 
-TEST_CASE("DRAIN: a departure is not acknowledged by a process that cannot tell sidecars of it") {
-  Play play;
-  play.Configure(3, 0);
-  play.AwaitServers(2);
-  // The shard that proves contact is lost, those that hold departures go on.
-  play.system.tamper = [](WireMessage& message) {
+TEST_CASE("DRAIN: a process that cannot notify sidecars of a departure does not acknowledge it") {
+  SystemScenario scenario;
+  scenario.Configure(3, 0);
+  scenario.AwaitServers(2);
+  // The messages of the configuration's shard, which prove quorum contact, are lost; the shards that hold
+  // departures continue.
+  scenario.system.tamper = [](WireMessage& message) {
     if (message.path != kExchangePath || message.is_response) return;
     auto request = Decode<ExchangeRequest>(message.body);
-    std::erase_if(request->messages, [](const auto& one) { return one.shard == kConfigurationShard; });
+    std::erase_if(request->messages, [](const auto& lost) { return lost.shard == kConfigurationShard; });
     message.body = Encode(*request);
   };
-  play.system.Run(1'100'000);
+  scenario.system.Run(1'100'000);
   std::vector<int> statuses;
-  for (std::size_t i = 0; i < play.system.controls(); ++i)
-    play.system.CallPublic(i, "DELETE", "/api/instances/i-leaves", "", 0,
-                           [&](int status, const std::string&) { statuses.push_back(status); });
-  play.system.Run(kSecond);
-  CHECK(statuses == std::vector<int>(play.system.controls(), 503));
-  play.system.tamper = nullptr;
-  play.AwaitServers(1);
+  for (std::size_t i = 0; i < scenario.system.controls(); ++i)
+    scenario.system.CallPublic(i, "DELETE", "/api/instances/i-leaves", "", 0,
+                               [&](int status, const std::string&) { statuses.push_back(status); });
+  scenario.system.Run(kSecond);
+  CHECK(statuses == std::vector<int>(scenario.system.controls(), 503));
+  scenario.system.tamper = nullptr;
+  scenario.AwaitServers(1);
 }
 
 TEST_CASE("System: an acknowledged drain outlives the process that acknowledged it") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     INFO("seed " << seed);
-    Play play(seed);
-    play.Configure(3, 0);
-    play.AwaitServers(2);
-    const std::size_t taker = play.Follower();
+    SystemScenario scenario(seed);
+    scenario.Configure(3, 0);
+    scenario.AwaitServers(2);
+    const std::size_t receiver = scenario.Follower();
     const auto heartbeat = [&](std::size_t at, const char* phase, int sequence,
                                std::function<void(int)> done) {
       const json body{{"backend", "s"},
@@ -343,42 +353,42 @@
                       {"capacity", 4},
                       {"phase", phase},
                       {"sequence", sequence}};
-      play.system.CallPublic(at, "PUT", "/api/instances/i-leaves", body.dump(), 0,
-                             [done = std::move(done)](int status, const std::string&) { done(status); });
+      scenario.system.CallPublic(at, "PUT", "/api/instances/i-leaves", body.dump(), 0,
+                                 [done = std::move(done)](int status, const std::string&) { done(status); });
     };
-    // It ends in the moment of its answer; a heartbeat from before the drain comes late to another one.
+    // The process ends when it responds. A heartbeat from before the drain then reaches another process late.
     int status = 0;
-    heartbeat(taker, "draining", 1000, [&](int got) {
-      status = got;
-      play.system.Kill(taker);
+    heartbeat(receiver, "draining", 1000, [&](int received) {
+      status = received;
+      scenario.system.Kill(receiver);
     });
-    REQUIRE(play.system.RunUntil([&] { return status != 0; }, kSecond));
+    REQUIRE(scenario.system.RunUntil([&] { return status != 0; }, kSecond));
     REQUIRE(status == 200);
-    heartbeat((taker + 1) % 3, "ready", 999, [](int) {});
-    play.system.Run(kSecond);
-    CHECK(play.AllSidecars([](const SystemView& view) {
+    heartbeat((receiver + 1) % 3, "ready", 999, [](int) {});
+    scenario.system.Run(kSecond);
+    CHECK(scenario.AllSidecars([](const SystemView& view) {
       return view.MakeDirectory()->Find("i-leaves")->phase == Phase::kDraining;
     }));
   }
 }
 
-// At many moments between the exchanges that the clock and the replicas begin.
+// The heartbeats are sent at many offsets from the exchanges that timers and replicas begin.
 TEST_CASE("System: a heartbeat at one process reaches the sidecars of all others within 100 ms") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Play play(seed);
-    play.Configure(3, 0);
-    play.AwaitServers(2);
-    play.system.Run(static_cast<Micros>(seed) * VirtualSystem::kStep);
-    for (std::size_t at = 0; at < play.system.controls(); ++at) {
+    SystemScenario scenario(seed);
+    scenario.Configure(3, 0);
+    scenario.AwaitServers(2);
+    scenario.system.Run(static_cast<Micros>(seed) * VirtualSystem::kStep);
+    for (std::size_t at = 0; at < scenario.system.controls(); ++at) {
       INFO("seed " << seed << ", process " << at);
       const std::string id = "i-new-" + std::to_string(at);
       const json body{{"backend", "s"}, {"address", "10.2.0.1:" + std::to_string(at)}, {"sequence", 1}};
       int status = 0;
-      play.system.CallPublic(at, "PUT", "/api/instances/" + id, body.dump(), 0,
-                             [&](int got, const std::string&) { status = got; });
-      REQUIRE(play.system.RunUntil([&] { return status != 0; }, kSecond));
-      play.system.Run(100'000);
-      CHECK(play.AllSidecars(
+      scenario.system.CallPublic(at, "PUT", "/api/instances/" + id, body.dump(), 0,
+                                 [&](int received, const std::string&) { status = received; });
+      REQUIRE(scenario.system.RunUntil([&] { return status != 0; }, kSecond));
+      scenario.system.Run(100'000);
+      CHECK(scenario.AllSidecars(
           [&](const SystemView& view) { return view.MakeDirectory()->Find(id) != nullptr; }));
     }
   }
@@ -386,8 +396,8 @@
 
 namespace {
 
-// An exchange of control process 1 with one change, which another process has made.
-ExchangeRequest ExchangeAbout(VirtualSystem& system, const std::string& id, Phase phase) {
+// An exchange request of control process 1 with one changed instance, which another process has changed.
+ExchangeRequest ExchangeWithInstance(VirtualSystem& system, const std::string& id, Phase phase) {
   Instance server;
   server.id = id;
   server.backend = "s";
@@ -406,51 +416,52 @@
 
 }  // namespace
 
-// A peer that takes a restarted process for its earlier incarnation leaves out what that one knew. If the
-// restarted process merged these changes, its version vector would hide the gap, and it would never learn of
-// a drain in it.
+// A peer that takes a restarted process for its earlier incarnation omits the changes that the earlier
+// incarnation knew. If the restarted process merged such an exchange, its version vector would cover the
+// omitted changes, and it would never learn of a drain among them.
 TEST_CASE("System: changes relative to the version vector of an earlier incarnation are ignored") {
   VirtualSystem system(3, 1, 1);
   system.Run(kSecond);
   ControlCore& core = *system.control(0).core;
-  ExchangeRequest request = ExchangeAbout(system, "i-1", Phase::kReady);
+  ExchangeRequest request = ExchangeWithInstance(system, "i-1", Phase::kReady);
   request.receiver_incarnation = "incarnation before";
-  const ExchangeReply refused = core.OnExchangeRequest(request, system.now());
-  CHECK(refused.version_vector.count("another") == 0);
-  request.receiver_incarnation = refused.incarnation;
+  const ExchangeReply ignored = core.OnExchangeRequest(request, system.now());
+  CHECK(ignored.version_vector.count("another") == 0);
+  request.receiver_incarnation = ignored.incarnation;
   CHECK(core.OnExchangeRequest(request, system.now()).version_vector.at("another") == 5);
 }
 
 TEST_CASE("System: an exchange with changes names the receiver's incarnation") {
-  Play play;
+  SystemScenario scenario;
   int with_changes = 0;
   int unnamed = 0;
-  play.system.tamper = [&](WireMessage& message) {
+  scenario.system.tamper = [&](WireMessage& message) {
     if (message.path != kExchangePath || message.is_response) return;
     const ExchangeRequest request = Decode<ExchangeRequest>(message.body).value();
     if (request.changed_instances.empty()) return;
     ++with_changes;
     unnamed += request.receiver_incarnation.empty() ? 1 : 0;
   };
-  play.Configure(3, 0);
-  play.AwaitServers(2);
+  scenario.Configure(3, 0);
+  scenario.AwaitServers(2);
   CHECK(with_changes > 0);
   CHECK(unnamed == 0);
 }
 
 TEST_CASE(
     "System: an exchange without one of its fields is rejected, except those that earlier versions lack") {
-  const wire::ExchangeRequest form;
-  for (const auto* field : testing::FieldsOf(form)) {
+  const wire::ExchangeRequest prototype;
+  for (const auto* field : testing::FieldsOf(prototype)) {
     INFO(field->name());
     const std::set<std::string> of_later_versions{"source", "changed_for", "usage", "wants_usage"};
     const bool optional = of_later_versions.count(field->name()) > 0;
-    const std::string part = testing::Without(form, field, Encode(ExchangeRequest()));
+    const std::string part = testing::Without(prototype, field, Encode(ExchangeRequest()));
     CHECK(Decode<ExchangeRequest>(part).has_value() == optional);
   }
 }
 
-// Most exchanges carry heartbeats of the shards: last-seen lists in each would be most of their bytes.
+// Most exchanges only carry heartbeats of the shards. Last-seen lists in each of them would be most of their
+// bytes.
 TEST_CASE(
     "System: last-seen lists are exchanged several times a second, not with each exchange, and are "
     "complete") {
@@ -469,7 +480,7 @@
   };
   system.Run(kSeconds * kSecond);
   const int pairs = 3 * 2;
-  CHECK(with_lists <= pairs * kSeconds * 7);  // each 150 ms
+  CHECK(with_lists <= pairs * kSeconds * 7);  // one per 150 ms
   CHECK(with_lists >= pairs * kSeconds * 4);
   CHECK(replies > with_lists + pairs * kSeconds);
   for (std::size_t i = 0; i < system.sidecars(); ++i)
@@ -481,64 +492,68 @@
   system.Run(2 * kSecond);
   int status = 0;
   system.CallPublic(1, "DELETE", "/api/instances/i-1", "", 0,
-                    [&](int got, const std::string&) { status = got; });
+                    [&](int received, const std::string&) { status = received; });
   REQUIRE(system.RunUntil([&] { return status == 200; }, 3 * kSecond));
   system.Run(kSecond);
   ControlCore& core = *system.control(0).core;
-  REQUIRE(core.shards().Deregistered("i-1") == Phase::kDeregistered);  // and it has heard of no such server
-  core.OnExchangeRequest(ExchangeAbout(system, "i-1", Phase::kReady), system.now());
-  ExchangeRequest asking = ExchangeAbout(system, "i-1", Phase::kReady);
-  asking.changed_instances.clear();
-  const ExchangeReply reply = core.OnExchangeRequest(asking, system.now());
+  REQUIRE(core.shards().Deregistered("i-1") == Phase::kDeregistered);  // but its table has no such server
+  core.OnExchangeRequest(ExchangeWithInstance(system, "i-1", Phase::kReady), system.now());
+  ExchangeRequest empty_exchange = ExchangeWithInstance(system, "i-1", Phase::kReady);
+  empty_exchange.changed_instances.clear();
+  const ExchangeReply reply = core.OnExchangeRequest(empty_exchange, system.now());
   REQUIRE(reply.changed_instances.size() == 1);
   CHECK(reply.changed_instances[0].phase == Phase::kDeregistered);
 }
 
-// A sidecar that asks again while servers have changed meanwhile was answered each time, as fast as it could
-// ask.
+// Guards against a fault in which each watch of a sidecar was answered at once if servers had changed
+// meanwhile, as fast as the sidecar could send watches.
 TEST_CASE(
-    "System: while servers keep changing, each of many sidecars gets one reply per notification interval") {
-  constexpr std::size_t kSidecars = 80;             // a notification each 60 ms
-  constexpr double kMostAnswers = 1000.0 / 60 + 1;  // a second
+    "System: while servers keep changing, each of many sidecars receives one reply per notification "
+    "interval") {
+  constexpr std::size_t kSidecars = 80;  // one notification per 60 ms
+  constexpr double kMaxRepliesPerSecond = 1000.0 / 60 + 1;
   VirtualSystem system(3, kSidecars, 1);
   system.Run(3 * kSecond);
-  std::map<std::string, int> answers;
+  std::map<std::string, int> replies;
   system.tamper = [&](WireMessage& message) {
     if (message.path != kWatchPath || !message.is_response) return;
-    if (const auto answer = Decode<WatchReply>(message.body))
-      ++answers[std::to_string(answer->window_position)];
+    if (const auto reply = Decode<WatchReply>(message.body))
+      ++replies[std::to_string(reply->window_position)];
   };
   const Micros begin = system.now();
   for (int sequence = 1; system.now() < begin + 4 * kSecond; ++sequence) {
-    // Each is another server, so that each is news.
+    // Each heartbeat is from a new server, so that each is an update.
     const std::string id = "i-" + std::to_string(sequence);
     const json body{{"backend", "s"}, {"address", "10.2.0.1:" + std::to_string(sequence)}, {"sequence", 1}};
     system.CallPublic(static_cast<std::size_t>(sequence) % 3, "PUT", "/api/instances/" + id, body.dump(), 0,
                       [](int, const std::string&) {});
     system.Run(VirtualSystem::kStep);
   }
-  CHECK(answers.size() == kSidecars);
-  for (const auto& [number, count] : answers) CHECK(count / 4.0 <= kMostAnswers);
+  CHECK(replies.size() == kSidecars);
+  for (const auto& [window_position, count] : replies) CHECK(count / 4.0 <= kMaxRepliesPerSecond);
   system.Run(kSecond / 5);
   for (std::size_t i = 0; i < system.sidecars(); ++i)
     CHECK(system.sidecar(i).view->MakeDirectory()->Find("i-200") != nullptr);
   CHECK(system.violations().empty());
 }
 
-// A sidecar may have dropped, because of another process, an instance that its version vector covers.
+// A sidecar may have dropped an instance that its version vector covers, because of a list from another
+// process.
 TEST_CASE(
-    "System: a sidecar that comes from another process gets the complete instance list, whatever it knows") {
-  Play play;
-  play.Configure(3, 0);
-  play.AwaitServers(2);
-  play.system.Run(2 * kSecond);
-  ControlCore& core = *play.system.control(0).core;
+    "System: a sidecar that comes from another process receives the complete instance list, whatever it "
+    "knows") {
+  SystemScenario scenario;
+  scenario.Configure(3, 0);
+  scenario.AwaitServers(2);
+  scenario.system.Run(2 * kSecond);
+  ControlCore& core = *scenario.system.control(0).core;
   std::optional<WatchReply> reply;
   WatchRequest request;
   request.node = "edge-2";
   const auto watch = [&] {
     reply.reset();
-    core.Watch(request, play.system.now(), [&](const std::optional<WatchReply>& got) { reply = got; });
+    core.Watch(request, scenario.system.now(),
+               [&](const std::optional<WatchReply>& received) { reply = received; });
     REQUIRE(reply.has_value());
     CHECK(reply->complete);
     CHECK(reply->changed_instances.size() == 2);
@@ -549,44 +564,47 @@
   watch();
 }
 
-TEST_CASE("System: of two changes on one version through processes partitioned in turn exactly one wins") {
+TEST_CASE(
+    "System: of two changes based on one version exactly one is accepted, although a process is isolated "
+    "meanwhile") {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     INFO("seed " << seed);
-    Play play(seed);
-    play.Configure(3, 0);
-    const Operator one(play.system, 7, 3, 0);
-    const Operator other(play.system, 8, 3, 1);
-    play.system.Isolate(seed % 3);
-    play.system.Run(static_cast<Micros>(seed) * 50'000);
-    play.system.Heal();
-    play.Await("both answers", [&] { return one.Answered() && other.Answered(); });
-    CHECK(((one.status() == 200) != (other.status() == 200)));
-    CHECK(one.status() + other.status() == 200 + 412);
+    SystemScenario scenario(seed);
+    scenario.Configure(3, 0);
+    const Operator first(scenario.system, 7, 3, 0);
+    const Operator second(scenario.system, 8, 3, 1);
+    scenario.system.Isolate(seed % 3);
+    scenario.system.Run(static_cast<Micros>(seed) * 50'000);
+    scenario.system.Heal();
+    scenario.Await("both answers", [&] { return first.Answered() && second.Answered(); });
+    CHECK(((first.status() == 200) != (second.status() == 200)));
+    CHECK(first.status() + second.status() == 200 + 412);
   }
 }
 
-TEST_CASE("System: a process resumed from a suspension answers nothing stale") {
-  Play play;
-  play.Configure(3, 0);
+TEST_CASE("System: a process resumed from a suspension returns no stale state") {
+  SystemScenario scenario;
+  scenario.Configure(3, 0);
   for (std::size_t i = 0; i < 3; ++i) {
     INFO("process " << i);
     const auto version = static_cast<std::int64_t>(4 + i);
-    play.system.Freeze(i, 3 * kSecond);
-    // A read that comes meanwhile is answered as it wakes.
-    const Micros call_timeout = std::exchange(play.system.call_timeout, 5 * kSecond);
+    scenario.system.Freeze(i, 3 * kSecond);
+    // A read that arrives meanwhile is answered when the process resumes.
+    const Micros call_timeout = std::exchange(scenario.system.call_timeout, 5 * kSecond);
     int status = 0;
     std::string read;
-    play.system.CallPublic(i, "GET", "/api/configuration", "", 0, [&](int got, const std::string& body) {
-      status = got;
-      read = body;
-    });
-    play.system.call_timeout = call_timeout;
-    play.Configure(version, version - 1, i + 1);
-    play.system.Run(4 * kSecond);
+    scenario.system.CallPublic(i, "GET", "/api/configuration", "", 0,
+                               [&](int received, const std::string& body) {
+                                 status = received;
+                                 read = body;
+                               });
+    scenario.system.call_timeout = call_timeout;
+    scenario.Configure(version, version - 1, i + 1);
+    scenario.system.Run(4 * kSecond);
     CHECK(status != 0);
     CHECK((status != 200 || json::parse(read).at("version") == version));
   }
-  CHECK(play.system.violations().empty());
+  CHECK(scenario.system.violations().empty());
 }
 
 }  // namespace violetwing
--- a/tests/testing/configuration_document.hpp
+++ b/tests/testing/configuration_document.hpp
@@ -1,4 +1,4 @@
-// The operator's document as tests send it.
+// Configuration documents, as the operator sends them.
 #ifndef VIOLETWING_TESTS_TESTING_CONFIGURATION_DOCUMENT_HPP_
 #define VIOLETWING_TESTS_TESTING_CONFIGURATION_DOCUMENT_HPP_
 
@@ -9,7 +9,7 @@
 
 namespace violetwing::testing {
 
-// A route of name r<number> to the service s.
+// A route named r<number> to the service s.
 inline nlohmann::json RouteDocument(int number, int timeout_ms) {
   return {{"name", "r" + std::to_string(number)},
           {"hostname", "a.example"},
@@ -19,7 +19,7 @@
           {"backend", "s"}};
 }
 
-// One service s and `routes` routes to it.
+// A configuration with the service s and `routes` routes to it.
 inline std::string Document(std::int64_t version, int timeout_ms = 1000, int routes = 1) {
   nlohmann::json list = nlohmann::json::array();
   for (int i = 0; i < routes; ++i) list.push_back(RouteDocument(i, timeout_ms));
@@ -29,7 +29,7 @@
       .dump();
 }
 
-// Sets the time limit of the first route.
+// A patch that sets the timeout of the first route.
 inline std::string PatchDocument(std::int64_t version, int timeout_ms) {
   return nlohmann::json{{"version", version}, {"upsert", {{"routes", {RouteDocument(0, timeout_ms)}}}}}
       .dump();
--- a/tests/testing/loopback_listener.hpp
+++ b/tests/testing/loopback_listener.hpp
@@ -1,4 +1,4 @@
-// A listening socket on loopback at a port that the kernel chooses, for tests that play a peer by hand.
+// A listening socket on loopback at a port that the kernel chooses, for tests that act as the peer.
 #ifndef VIOLETWING_TESTS_TESTING_LOOPBACK_LISTENER_HPP_
 #define VIOLETWING_TESTS_TESTING_LOOPBACK_LISTENER_HPP_
 
@@ -29,7 +29,7 @@
   LoopbackListener& operator=(const LoopbackListener&) = delete;
 
   int socket_fd() const { return socket_; }
-  /// host:port
+  /// The address that it listens on, host:port.
   const std::string& address() const { return address_; }
 
  private:
--- a/tests/testing/virtual_system.hpp
+++ b/tests/testing/virtual_system.hpp
@@ -1,7 +1,7 @@
 // A deterministic simulation: the cores of control processes and of sidecars' control links on a virtual
-// clock, with a network that delays and partitions, and may lose, duplicate, delay or change one message, and
-// disks that lose what was not synced. Messages between the cores are encoded and decoded, as between real
-// processes.
+// clock, with a network that delays and partitions and may lose, duplicate, delay or change single messages,
+// and with disks that lose unsynced writes. Messages between the cores are encoded and decoded, as between
+// real processes.
 #ifndef VIOLETWING_TESTS_TESTING_VIRTUAL_SYSTEM_HPP_
 #define VIOLETWING_TESTS_TESTING_VIRTUAL_SYSTEM_HPP_
 
@@ -27,12 +27,12 @@
 
 namespace violetwing::testing {
 
-/// A message in flight: the body of a call, or of the answer to one.
+/// A message in flight: the body of a call, or of the response to one.
 struct WireMessage {
   std::string path;
   bool is_response = false;
   std::string body;
-  int copies = 1;          ///< how often it arrives; 0: lost
+  int copies = 1;          ///< number of deliveries; 0: lost
   Micros extra_delay = 0;  ///< on top of the network's delay
 };
 
@@ -46,9 +46,10 @@
   struct Control {
     std::string address;  // for internal calls
     std::string public_address;
-    std::string disk;
+    std::string replica_id;
     std::map<int, consensus::StoredState> stored;
-    std::deque<std::pair<Micros, std::pair<ShardWrite, std::uint64_t>>> writes;  // under way, by their end
+    // Writes in progress, by completion time.
+    std::deque<std::pair<Micros, std::pair<ShardWrite, std::uint64_t>>> writes;
     std::unique_ptr<ControlCore> core;
     int incarnation = 0;
     Micros frozen_until = 0;
@@ -56,13 +57,13 @@
   };
   struct Sidecar {
     std::unique_ptr<SystemView> view;
-    std::unique_ptr<ControlProcessSelector> choice;
+    std::unique_ptr<ControlProcessSelector> selector;
     bool watch_in_flight = false;
     Micros next_watch_at = 0;
-    std::int64_t highest_version = 0;  ///< of the configurations that it has had
+    std::int64_t highest_version = 0;  ///< of the configurations that it has applied
   };
 
-  /// How the system departs from an ordinary one.
+  /// Settings of the control processes.
   struct Options {
     bool reports_usage = false;
     std::int64_t lease_ms = 1000;
@@ -78,7 +79,7 @@
       Control control;
       control.address = "10.0.0." + std::to_string(i + 1) + ":100";
       control.public_address = "10.0.0." + std::to_string(i + 1) + ":99";
-      control.disk = BootstrapReplicaId(control.address);
+      control.replica_id = BootstrapReplicaId(control.address);
       controls_.push_back(std::move(control));
     }
     for (std::size_t i = 0; i < controls; ++i) Start(i);
@@ -86,10 +87,10 @@
     for (std::size_t i = 0; i < sidecars; ++i) {
       const std::string name = "edge-" + std::to_string(i);
       sidecars_[i].view = std::make_unique<SystemView>(name, name + ":1");
-      sidecars_[i].choice = std::make_unique<ControlProcessSelector>("zone", name);
+      sidecars_[i].selector = std::make_unique<ControlProcessSelector>("zone", name);
       std::vector<std::string> seeds;
       for (const Control& control : controls_) seeds.push_back(control.address);
-      sidecars_[i].choice->SetSeeds(std::move(seeds));
+      sidecars_[i].selector->SetSeeds(std::move(seeds));
     }
   }
 
@@ -99,23 +100,23 @@
   std::size_t controls() const { return controls_.size(); }
   std::size_t sidecars() const { return sidecars_.size(); }
   const std::vector<std::string>& violations() const { return violations_; }
-  Micros max_write_time = 8'000;  ///< exclusive upper bound of a write with its sync
-  Micros call_timeout = 600'000;  ///< after which a call without an answer has failed
+  Micros max_write_time = 8'000;  ///< longest duration of a write with its sync
+  Micros call_timeout = 600'000;  ///< after which a call without a response has failed
   /// May change any message in flight.
   std::function<void(WireMessage&)> tamper;
-  /// Observers of what leaves the processes: messages as they are sent, writes as they are handed to the
-  /// disk, calls to model servers. Without the last two, calls to servers get no answer.
+  /// Observers of the processes' outputs: messages when they are sent, writes when they are handed to the
+  /// disk, calls to model servers. If the last two are not set, calls to servers get no response.
   std::function<void(const WireMessage&)> on_message;
   std::function<void(std::size_t control, const ShardWrite&)> on_write;
   std::function<void(std::size_t control, const PlacementCall&, consensus::Term fencing_token)> on_order;
   std::function<void(std::size_t control, const PlacementCall&)> on_report_request;
-  /// The platform; `done` may be called later, once.
+  /// Handles a call to the platform; `done` is to be called once, possibly later.
   std::function<void(std::size_t control, const duties::PlatformCall&, std::function<void(int status)> done)>
       on_platform_call;
-  /// Error of a control process's clock of the time of day.
+  /// Errors of the control processes' time-of-day clocks, by process.
   std::map<std::size_t, Micros> clock_errors;
 
-  // ---- Faults ----
+  // ---- Processes and faults ----
 
   void Start(std::size_t i) {
     Control& control = controls_[i];
@@ -125,7 +126,7 @@
     settings.zone = "zone";
     settings.internal_port = 100;
     settings.control_plane = control.public_address;
-    for (const Control& one : controls_) settings.seeds.push_back(one.public_address);
+    for (const Control& seed : controls_) settings.seeds.push_back(seed.public_address);
     settings.heartbeat_ms = 500;
     settings.lease_ms = options_.lease_ms;
     settings.reports_usage = options_.reports_usage;
@@ -135,27 +136,27 @@
     outputs.write = [this, i](ShardWrite write, std::uint64_t token) {
       if (on_write) on_write(i, write);
       const Micros last = controls_[i].writes.empty() ? now_ : controls_[i].writes.back().first;
-      controls_[i].writes.push_back({last + Draw(max_write_time), {std::move(write), token}});
+      controls_[i].writes.push_back({last + RandomDelay(max_write_time), {std::move(write), token}});
     };
     outputs.exchange = [this, i](const std::string& to, const ExchangeRequest& request) {
       CallInternal(
           controls_[i].address, to, kExchangePath, Encode(request),
           [this, i, to, incarnation = controls_[i].incarnation](int status, const std::string& body) {
             if (controls_[i].core == nullptr || controls_[i].incarnation != incarnation) return;
-            controls_[i].core->OnExchangeReply(to, Read<ExchangeReply>(status, body), now_);
+            controls_[i].core->OnExchangeReply(to, DecodeReply<ExchangeReply>(status, body), now_);
           });
     };
-    outputs.order = [this, i](const PlacementCall& call, consensus::Term fencing_token) {
+    outputs.send_order = [this, i](const PlacementCall& call, consensus::Term fencing_token) {
       if (on_order) on_order(i, call, fencing_token);
     };
-    outputs.ask_report = [this, i](const PlacementCall& call) {
+    outputs.request_report = [this, i](const PlacementCall& call) {
       if (on_report_request) on_report_request(i, call);
     };
     outputs.call_platform = [this, i](const duties::PlatformCall& call) {
       if (!on_platform_call) return;
       on_platform_call(i, call, [this, i, call, incarnation = controls_[i].incarnation](int status) {
         if (controls_[i].core != nullptr && controls_[i].incarnation == incarnation)
-          controls_[i].core->OnPlatformAnswered(call, status, now_);
+          controls_[i].core->OnPlatformResponse(call, status, now_);
       });
     };
     outputs.failed = [this, i](int shard, std::error_code error) {
@@ -165,48 +166,51 @@
     ++control.incarnation;
     control.core = std::make_unique<ControlCore>(
         settings, settings.node_name + "/" + std::to_string(control.incarnation),
-        Shards::Stored{control.disk, control.stored}, std::move(outputs), now_);
+        Shards::Stored{control.replica_id, control.stored}, std::move(outputs), now_);
   }
   bool IsRunning(std::size_t i) const { return controls_[i].core != nullptr; }
-  /// The process ends; writes handed to the operating system survive.
+  /// Ends the process; writes handed to the operating system survive.
   void Kill(std::size_t i) {
-    for (const auto& write : controls_[i].writes) Store(controls_[i], write.second.first);
+    for (const auto& write : controls_[i].writes) Persist(controls_[i], write.second.first);
     PowerOff(i);
   }
-  /// The process is told to end: it gives up leadership and announces its end. It runs until PowerOff.
+  /// Begins the process's shutdown: it gives up leadership and announces the shutdown. It runs until
+  /// PowerOff.
   void BeginShutdown(std::size_t i) { controls_[i].core->Stop(); }
+  /// Ends the process; writes in progress are lost.
   void PowerOff(std::size_t i) {
     controls_[i].core.reset();
     controls_[i].writes.clear();
   }
   void Freeze(std::size_t i, Micros span) { controls_[i].frozen_until = now_ + span; }
   void StallDisk(std::size_t i, Micros span) { controls_[i].disk_stalled_until = now_ + span; }
-  void Isolate(std::size_t i) { cut_.insert(controls_[i].address); }
-  /// Partitions it from the other control processes alone: servers, sidecars and operators reach it.
-  void IsolateFromPeers(std::size_t i) { core_cut_.insert(controls_[i].address); }
+  /// Partitions the process from everyone.
+  void Isolate(std::size_t i) { isolated_.insert(controls_[i].address); }
+  /// Partitions the process from the other control processes only; servers, sidecars and operators reach it.
+  void IsolateFromPeers(std::size_t i) { isolated_from_peers_.insert(controls_[i].address); }
   void Heal() {
-    cut_.clear();
-    core_cut_.clear();
+    isolated_.clear();
+    isolated_from_peers_.clear();
   }
 
-  // ---- Calls from outside ----
+  // ---- Calls of servers, sidecars and operators ----
 
   /// Calls `act` after a delay.
-  void After(Micros delay, std::function<void()> act) { At(now_ + delay, std::move(act)); }
+  void After(Micros delay, std::function<void()> act) { Schedule(now_ + delay, std::move(act)); }
 
-  /// A watch with nothing known, as of a sidecar that has just started, with what it has counted.
+  /// The first watch of a sidecar that has just started, with the usage that it has counted.
   void CallWatch(std::size_t i, std::function<void(int status, const std::string&)> done,
                  UsageReport usage = {}) {
     WatchRequest request;
     request.node = "edge-new";
     request.usage = std::move(usage);
-    Carry("outside", i, {"POST", kWatchPath, Encode(request), {}}, /*internal=*/true, std::move(done));
+    Call("outside", i, {"POST", kWatchPath, Encode(request), {}}, /*internal=*/true, std::move(done));
   }
-  /// `done` gets an HTTP status, 0 if there was no answer.
+  /// `done` receives the HTTP status, 0 without a response.
   void CallPublic(std::size_t i, const std::string& method, const std::string& path, const std::string& body,
                   std::int64_t base, std::function<void(int status, const std::string&)> done) {
     http::Request request{method, path, body, std::to_string(base)};
-    Carry("outside", i, std::move(request), /*internal=*/false, std::move(done));
+    Call("outside", i, std::move(request), /*internal=*/false, std::move(done));
   }
 
   // ---- Time ----
@@ -214,8 +218,8 @@
   void Run(Micros span) {
     for (const Micros until = now_ + span; now_ < until;) Step();
   }
-  bool RunUntil(const std::function<bool()>& done, Micros most) {
-    for (const Micros until = now_ + most; now_ < until && !done();) Step();
+  bool RunUntil(const std::function<bool()>& done, Micros max_duration) {
+    for (const Micros until = now_ + max_duration; now_ < until && !done();) Step();
     return done();
   }
 
@@ -229,18 +233,21 @@
     }
   };
 
-  Micros Draw(Micros bound) {
+  // From 1 to `bound`.
+  Micros RandomDelay(Micros bound) {
     return 1 + static_cast<Micros>(random_.Below(static_cast<std::uint64_t>(bound)));
   }
 
-  void At(Micros at, std::function<void()> act) { events_.insert({at, ++events_made_, std::move(act)}); }
+  void Schedule(Micros at, std::function<void()> act) {
+    events_.insert({at, ++last_event_number_, std::move(act)});
+  }
 
   template <class Reply>
-  static std::optional<Reply> Read(int status, const std::string& body) {
+  static std::optional<Reply> DecodeReply(int status, const std::string& body) {
     return status == 200 ? Decode<Reply>(body) : std::nullopt;
   }
 
-  static void Store(Control& control, const ShardWrite& write) {
+  static void Persist(Control& control, const ShardWrite& write) {
     ApplyWrite(control.stored[write.shard], write);
   }
 
@@ -249,47 +256,49 @@
                        [&](const Control& control) { return control.address == address; });
   }
 
-  bool Cutoff(const std::string& from, const std::string& to) const {
-    if (cut_.count(from) > 0 || cut_.count(to) > 0) return true;
-    return IsControl(from) && IsControl(to) && (core_cut_.count(from) > 0 || core_cut_.count(to) > 0);
+  bool IsPartitioned(const std::string& from, const std::string& to) const {
+    if (isolated_.count(from) > 0 || isolated_.count(to) > 0) return true;
+    return IsControl(from) && IsControl(to) &&
+           (isolated_from_peers_.count(from) > 0 || isolated_from_peers_.count(to) > 0);
   }
 
-  // Sends a message of `from` to `to`, as often as it arrives.
-  void Post(const std::string& from, const std::string& to, WireMessage message,
-            const std::function<void(const std::string& body)>& arrive) {
+  // Sends a message from `from` to `to`, as many times as it has copies.
+  void SendMessage(const std::string& from, const std::string& to, WireMessage message,
+                   const std::function<void(const std::string& body)>& deliver) {
     if (tamper) tamper(message);
     if (on_message) on_message(message);
     for (int copy = 0; copy < message.copies; ++copy)
-      At(now_ + Draw(3'000) + message.extra_delay, [this, from, to, arrive, body = message.body] {
-        if (!Cutoff(from, to)) arrive(body);
-      });
+      Schedule(now_ + RandomDelay(3'000) + message.extra_delay,
+               [this, from, to, deliver, body = message.body] {
+                 if (!IsPartitioned(from, to)) deliver(body);
+               });
   }
 
   void CallInternal(const std::string& from, const std::string& to, const std::string& path, std::string body,
                     std::function<void(int, const std::string&)> done) {
     for (std::size_t i = 0; i < controls_.size(); ++i)
       if (controls_[i].address == to)
-        return Carry(from, i, {"POST", path, std::move(body), {}}, /*internal=*/true, std::move(done));
+        return Call(from, i, {"POST", path, std::move(body), {}}, /*internal=*/true, std::move(done));
     done(0, {});
   }
 
-  void Carry(const std::string& from, std::size_t to, http::Request request, bool internal,
-             std::function<void(int, const std::string&)> done) {
-    auto over = std::make_shared<bool>(false);
-    const auto end = [over, done = std::move(done)](int status, const std::string& body) {
-      if (!std::exchange(*over, true)) done(status, body);
+  void Call(const std::string& from, std::size_t to, http::Request request, bool internal,
+            std::function<void(int, const std::string&)> done) {
+    auto finished = std::make_shared<bool>(false);
+    const auto finish = [finished, done = std::move(done)](int status, const std::string& body) {
+      if (!std::exchange(*finished, true)) done(status, body);
     };
-    At(now_ + call_timeout, [end] { end(0, {}); });
+    Schedule(now_ + call_timeout, [finish] { finish(0, {}); });
     const std::string path = request.path;
     const std::string address = controls_[to].address;
     WireMessage message{path, false, request.body};
-    Post(from, address, std::move(message), [=, this](const std::string& body) {
+    SendMessage(from, address, std::move(message), [=, this](const std::string& body) {
       http::Request arrived = request;
       arrived.body = body;
       Deliver(to, arrived, internal, [=, this](const http::Response& response) {
-        WireMessage answer{path, true, response.body};
-        Post(address, from, std::move(answer),
-             [end, status = response.status](const std::string& text) { end(status, text); });
+        WireMessage reply{path, true, response.body};
+        SendMessage(address, from, std::move(reply),
+                    [finish, status = response.status](const std::string& text) { finish(status, text); });
       });
     });
   }
@@ -298,7 +307,7 @@
     Control& control = controls_[to];
     if (control.core == nullptr) return;
     if (control.frozen_until > now_)
-      return At(control.frozen_until + 1, [=, this] { Deliver(to, request, internal, respond); });
+      return Schedule(control.frozen_until + 1, [=, this] { Deliver(to, request, internal, respond); });
     if (internal)
       HandleInternal(*control.core, request, now_, respond);
     else
@@ -330,7 +339,7 @@
            control.disk_stalled_until <= now_) {
       const auto write = std::move(control.writes.front().second);
       control.writes.pop_front();
-      Store(control, write.first);
+      Persist(control, write.first);
       control.core->OnWriteDurable(write.second, now_);
     }
   }
@@ -338,21 +347,21 @@
   void Watch(std::size_t i) {
     Sidecar& sidecar = sidecars_[i];
     sidecar.watch_in_flight = true;
-    const std::string to = sidecar.choice->Current(sidecar.view->controls());
+    const std::string to = sidecar.selector->Current(sidecar.view->controls());
     CallInternal("edge-" + std::to_string(i), to, kWatchPath,
                  Encode(sidecar.view->NextWatchRequest(kWatchWaitMs, {})),
-                 [this, i](int status, const std::string& body) { OnWatched(i, status, body); });
+                 [this, i](int status, const std::string& body) { OnWatchResponse(i, status, body); });
   }
 
-  void OnWatched(std::size_t i, int status, const std::string& body) {
+  void OnWatchResponse(std::size_t i, int status, const std::string& body) {
     Sidecar& sidecar = sidecars_[i];
     sidecar.watch_in_flight = false;
-    if (const auto reply = Read<WatchReply>(status, body)) {
+    if (const auto reply = DecodeReply<WatchReply>(status, body)) {
       sidecar.view->Apply(*reply);
-      sidecar.choice->OnAnswered(sidecar.view->controls(), now_);
+      sidecar.selector->OnAnswered(sidecar.view->controls(), now_);
       sidecar.next_watch_at = now_;
     } else {
-      sidecar.choice->OnFailed(sidecar.view->controls(), now_);
+      sidecar.selector->OnFailed(sidecar.view->controls(), now_);
       sidecar.next_watch_at = now_ + 100'000;
     }
     if (sidecar.view->version() < sidecar.highest_version)
@@ -366,10 +375,10 @@
   Random random_;
   std::vector<Control> controls_;
   std::vector<Sidecar> sidecars_;
-  std::set<std::string> cut_;       // addresses that nothing reaches or leaves
-  std::set<std::string> core_cut_;  // addresses between which and other control processes nothing passes
+  std::set<std::string> isolated_;             // addresses of processes that are partitioned from everyone
+  std::set<std::string> isolated_from_peers_;  // likewise, from the other control processes only
   std::set<Event> events_;
-  std::uint64_t events_made_ = 0;
+  std::uint64_t last_event_number_ = 0;
   std::vector<std::string> violations_;
 };
 
--- a/tests/testing/wire_fields.hpp
+++ b/tests/testing/wire_fields.hpp
@@ -1,4 +1,4 @@
-// Messages between the processes with one field missing or of another type, by their protocol buffers.
+// Encoded protocol buffers with one field missing or of another wire type, for tests of decoding.
 #ifndef VIOLETWING_TESTS_TESTING_WIRE_FIELDS_HPP_
 #define VIOLETWING_TESTS_TESTING_WIRE_FIELDS_HPP_
 
@@ -16,31 +16,33 @@
 using google::protobuf::FieldDescriptor;
 using google::protobuf::Message;
 
-inline std::vector<const FieldDescriptor*> FieldsOf(const Message& kind) {
+inline std::vector<const FieldDescriptor*> FieldsOf(const Message& prototype) {
   std::vector<const FieldDescriptor*> out;
-  for (int i = 0; i < kind.GetDescriptor()->field_count(); ++i) out.push_back(kind.GetDescriptor()->field(i));
+  for (int i = 0; i < prototype.GetDescriptor()->field_count(); ++i)
+    out.push_back(prototype.GetDescriptor()->field(i));
   return out;
 }
 
-// The message without that field; as it is if the bytes are none of this kind (a refusal has text).
-inline std::string Without(const Message& kind, const FieldDescriptor* field, const std::string& bytes) {
-  const std::unique_ptr<Message> message(kind.New());
+// The message without this field; unchanged if the bytes are no message of this type, such as the text of an
+// error response.
+inline std::string Without(const Message& prototype, const FieldDescriptor* field, const std::string& bytes) {
+  const std::unique_ptr<Message> message(prototype.New());
   if (!message->ParsePartialFromString(bytes) || !message->IsInitialized()) return bytes;
   message->GetReflection()->ClearField(message.get(), field);
   return message->SerializePartialAsString();
 }
 
-// The message with something in the field's place that cannot be read as one.
-inline std::string WithOtherType(const Message& kind, const FieldDescriptor* field,
+// The message with a value of another wire type in place of this field.
+inline std::string WithOtherType(const Message& prototype, const FieldDescriptor* field,
                                  const std::string& bytes) {
-  const std::string without = Without(kind, field, bytes);
+  const std::string without = Without(prototype, field, bytes);
   if (without == bytes) return bytes;
   constexpr int kVarint = 0;
   constexpr int kLengthDelimited = 2;
   const auto tag = [&](int type) { return static_cast<char>(field->number() << 3 | type); };
   const bool text = field->cpp_type() == FieldDescriptor::CPPTYPE_STRING;
   if (text) return without + tag(kVarint) + '\x01';
-  return without + tag(kLengthDelimited) + "\x02\xff\xff";  // a tag without its end
+  return without + tag(kLengthDelimited) + "\x02\xff\xff";  // an incomplete tag
 }
 
 }  // namespace violetwing::testing
