--- a/src/control/consensus/effects.hpp
+++ b/src/control/consensus/effects.hpp
@@ -1,4 +1,4 @@
-// What a replica asks its host to do: writes, messages, and entries for the state machine.
+// The output of a replica: writes to disk, messages to send, and entries for the state machine.
 #ifndef VIOLETWING_CONTROL_CONSENSUS_EFFECTS_HPP_
 #define VIOLETWING_CONTROL_CONSENSUS_EFFECTS_HPP_
 
@@ -10,37 +10,37 @@
 
 namespace violetwing::consensus {
 
-/// The output of a replica after one or several events. The host carries it out in the order of the fields.
-/// Writes of successive effects must reach the disk in the order in which they were taken.
+/// The output of a replica after one or more events. The host carries it out in the order of the fields.
+/// Writes of successive effects must reach the disk in the order in which the effects were taken.
 struct Effects {
-  // ---- To be durable before `messages_after_write` are sent ----
+  // ---- Must be durable before `messages_after_write` are sent ----
 
   std::optional<HardState> hard_state;
   std::optional<Snapshot> snapshot;  ///< Replaces all stored entries up to its index.
-  bool replaces_log = false;         ///< The snapshot replaces the later entries too.
-  Index first_index = 0;  ///< Index of entries[0]; stored entries from here on are dropped. 0: none.
+  bool replaces_log = false;         ///< The snapshot also replaces all later entries.
+  Index first_index = 0;  ///< Index of entries[0]; stored entries from it on are dropped. 0: no change.
   std::vector<Entry> entries;
 
   // ---- Messages ----
 
-  std::vector<Message> messages;              ///< May be sent at once.
-  std::vector<Message> messages_after_write;  ///< Acknowledge what is written above or was written before.
+  std::vector<Message> messages;              ///< May be sent immediately.
+  std::vector<Message> messages_after_write;  ///< Acknowledge the writes above or earlier ones.
 
   // ---- For the state machine ----
 
-  std::optional<Snapshot> snapshot_to_load;        ///< To load before `committed` is applied.
-  std::vector<std::pair<Index, Entry>> committed;  ///< To apply, in order.
+  std::optional<Snapshot> snapshot_to_load;        ///< Must be loaded before `committed` is applied.
+  std::vector<std::pair<Index, Entry>> committed;  ///< Must be applied in order.
 
-  /// Whether anything must become durable.
+  /// Whether there is anything to write to disk.
   bool WritesAnything() const { return hard_state || snapshot || first_index > 0; }
-  /// Whether there is nothing to do.
+  /// Whether the host has nothing to do.
   bool Empty() const;
 
-  /// Records that `entry` now stands at `index`, the end of the log.
+  /// Records that `entry` was appended to the log at `index`.
   void RecordAppend(Index index, Entry entry);
-  /// Records that the entries from `index` on have left the log.
+  /// Records that the entries from `index` on were removed from the log.
   void RecordTruncation(Index index);
-  /// Records that `received` has replaced the whole log and the state.
+  /// Records that `received` replaced the log and the state machine's state.
   void RecordSnapshotInstalled(const Snapshot& received);
 };
 
--- a/src/control/consensus/election.cpp
+++ b/src/control/consensus/election.cpp
@@ -1,13 +1,15 @@
-// Elections: when a replica asks for votes, and whom it votes for (Ongaro 2014, 3.4, 9.6 and 6.4.1).
+// Elections: when a replica requests votes, and to whom it grants its own (Ongaro 2014, 3.4, 9.6 and 6.4.1).
 //
-// A replica that has started may have acknowledged a lease before its restart, so it gives no vote for
-// `min_election_timeout`. Where all voters have started (after a power failure, say) nobody can hold a lease,
-// and they need not wait. A candidate learns this from each voter of the group, in replies to pre-votes at
-// its own term; a voter that has had contact with a leader since its start, leads, or is a candidate, does
-// not claim it. The claim stays true while votes are requested: whoever of them comes to lead later does so
-// in a term at least as high as the candidate's, and of one term there is one leader. A leader whom the
-// candidate's group does not name (a membership change that the candidate has not received) has no lease
-// without a quorum that holds an entry of its term, and one of those finds the candidate's log out of date.
+// A replica may have acknowledged a lease just before a restart, so it grants no vote for
+// `min_election_timeout` after its start. If all voters have restarted (after a power failure, for example),
+// no lease can be held and they need not wait. A candidate learns this from pre-vote replies in which every
+// voter of the group reports, at the candidate's own term, that it is leaderless. A voter that has had
+// contact with a leader since its start, leads, or is a candidate, does not report this. The report stays
+// valid while votes are requested: a voter that becomes leader later does so in a term at least as high as
+// the candidate's, and a term has only one leader. A leader may also be missing from the candidate's member
+// list, if the candidate has not received a membership change. Such a leader has a lease only if a quorum
+// stores an entry of its term, and at least one replica of that quorum rejects the candidate's log as out of
+// date.
 #include <algorithm>
 #include <utility>
 
@@ -36,8 +38,8 @@
     election_deadline_ = NextStartupSlot(now);
     return;
   }
-  const auto turn = static_cast<Micros>(ElectionRank()) * timing_.election_slot_duration;
-  election_deadline_ = now + timing_.min_election_timeout + timing_.contact_skew + turn;
+  const auto slot_offset = static_cast<Micros>(ElectionRank()) * timing_.election_slot_duration;
+  election_deadline_ = now + timing_.min_election_timeout + timing_.contact_skew + slot_offset;
 }
 
 void Replica::ScheduleNextAttempt(Micros now) {
@@ -51,14 +53,15 @@
   return static_cast<std::size_t>(it - members_.begin());
 }
 
-// Another order for each term and group: the groups that a machine led go to different ones when it fails,
-// and do not gather at one for good. The members know the same term from the leader's heartbeats.
+// The order differs between terms and groups, so that the groups led by a failed machine get their new
+// leaders on different machines and leaders do not accumulate on one machine permanently. All members use the
+// same term, which they know from the leader's heartbeats.
 std::uint64_t Replica::ElectionKey(const ReplicaId& id) const {
   const std::uint64_t group = Hash(timing_.startup_first_candidate, "election order");
-  return Hash(group + hard_.term, id);
+  return Hash(group + hard_state_.term, id);
 }
 
-// The last leader comes last.
+// The previous leader has the last slot.
 std::size_t Replica::ElectionRank() const {
   if (id_ == last_leader_) return members_.size() - 1;
   const std::uint64_t own_key = ElectionKey(id_);
@@ -68,14 +71,16 @@
   return rank;
 }
 
-// Members that differ in which leader was the last may have the same turn; their next ones differ.
+// Members that disagree about the previous leader may compute the same slot. The jitter separates their next
+// attempts.
 Micros Replica::SlotJitter() {
-  const auto most = static_cast<std::uint64_t>(timing_.election_slot_duration / 2);
-  return static_cast<Micros>(random_.Below(most + 1));
+  const auto max_jitter = static_cast<std::uint64_t>(timing_.election_slot_duration / 2);
+  return static_cast<Micros>(random_.Below(max_jitter + 1));
 }
 
-// Slots are counted from this replica's own start. Where the others started at other times two may coincide,
-// so each is moved a little at random, and slots come less often with each election that failed.
+// Slots are counted from the start of this replica. Since the others may have started at other times, slots
+// of two replicas can coincide. Each slot therefore has a random jitter, and the period between a replica's
+// slots grows with each failed election.
 Micros Replica::NextStartupSlot(Micros now) {
   const std::size_t count = std::max<std::size_t>(members_.size(), 1);
   const std::size_t position = PositionOf(id_);
@@ -94,9 +99,9 @@
   role_ = Role::kFollower;
   known_leader_ = std::move(leader);
   followers_.clear();
-  if (term > hard_.term) {
-    hard_ = {term, {}};
-    effects_.hard_state = hard_;
+  if (term > hard_state_.term) {
+    hard_state_ = {term, {}};
+    effects_.hard_state = hard_state_;
   }
   ResetElectionTimer(now_);
 }
@@ -106,7 +111,7 @@
   known_leader_.reset();
   role_ = Role::kPreCandidate;
   Message request = NewMessage(MessageKind::kPreVote, {});
-  request.term = hard_.term + 1;
+  request.term = hard_state_.term + 1;
   RequestVotes(std::move(request), now);
 }
 
@@ -115,8 +120,8 @@
   ScheduleNextAttempt(now);
   known_leader_.reset();
   role_ = Role::kCandidate;
-  hard_ = {hard_.term + 1, id_};
-  effects_.hard_state = hard_;
+  hard_state_ = {hard_state_.term + 1, id_};
+  effects_.hard_state = hard_state_;
   Message request = NewMessage(MessageKind::kVote, {});
   request.leaderless = AllVotersLeaderless();
   RequestVotes(std::move(request), now);
@@ -149,12 +154,12 @@
   last_leader_ = id_;
   seen_leader_ = true;
   leader_since_ = now;
-  durable_index_ = 0;  // counted from here on, by OnLogDurable
+  durable_index_ = 0;  // advanced by OnLogDurable from here on
   followers_.clear();
   for (const Member& member : members_)
     if (member.id == id_) known_leader_ = member;
   SyncFollowers(now);
-  term_start_index_ = AppendEntry({hard_.term, EntryKind::kNoop, {}, {}});
+  term_start_index_ = AppendEntry({hard_state_.term, EntryKind::kNoop, {}, {}});
   SendHeartbeats(now);
   SendAppends(now);
 }
@@ -171,7 +176,7 @@
     message.succession_rank = rank++;
     effects_.messages.push_back(std::move(message));
   }
-  BecomeFollower(hard_.term, {});
+  BecomeFollower(hard_state_.term, {});
 }
 
 std::vector<const FollowerProgress*> Replica::Successors(Micros now) const {
@@ -182,23 +187,23 @@
     return draining_.count(follower.member.id) == 0 &&
            now - follower.last_contact_at < timing_.min_election_timeout;
   };
-  std::sort(successors.begin(), successors.end(),
-            [&](const FollowerProgress* one, const FollowerProgress* other) {
-              const bool one_available = is_available(*one);
-              const bool other_available = is_available(*other);
-              if (one_available != other_available) return one_available;
-              if (one->match_index != other->match_index) return one->match_index > other->match_index;
-              return ElectionKey(one->member.id) < ElectionKey(other->member.id);
-            });
+  std::sort(successors.begin(), successors.end(), [&](const FollowerProgress* a, const FollowerProgress* b) {
+    const bool a_available = is_available(*a);
+    const bool b_available = is_available(*b);
+    if (a_available != b_available) return a_available;
+    if (a->match_index != b->match_index) return a->match_index > b->match_index;
+    return ElectionKey(a->member.id) < ElectionKey(b->member.id);
+  });
   return successors;
 }
 
-// No lease of this term, or of one before it, can be held any more, so that nobody has to wait for its end:
-// the leader of this term has given its own up, and was elected by voters that had waited for the end of
-// those before. A later leader's lease is kept from harm as its voters have a later term (see OnHeartbeat).
+// No lease of this term or an earlier one can still be held, so there is no lease to wait for: the leader of
+// this term has given up its own, and the voters that elected it had waited until all earlier leases expired.
+// The lease of a later leader is not affected, because its voters are in a later term and ignore this
+// resignation (see OnHeartbeat).
 void Replica::OnLeaderResigned(std::uint32_t rank, Micros now) {
-  BecomeFollower(hard_.term, {});
-  resigned_term_ = hard_.term;
+  BecomeFollower(hard_state_.term, {});
+  resigned_term_ = hard_state_.term;
   last_leader_contact_at_ = now - timing_.min_election_timeout;
   election_deadline_ = now + static_cast<Micros>(rank) * timing_.election_slot_duration;
 }
@@ -210,8 +215,8 @@
   return candidate.log_term > last_term || (candidate.log_term == last_term && candidate.index >= last());
 }
 
-// Its process has neither led nor had contact with a leader, and is not a candidate that votes in flight may
-// make one.
+// True if this process has neither led nor had contact with a leader, and is not a candidate, which votes in
+// flight may make the leader.
 bool Replica::IsLeaderless(Micros now) const {
   const bool passive = role_ == Role::kFollower || role_ == Role::kPreCandidate;
   return !seen_leader_ && passive && now - started_at_ >= timing_.startup_election_delay;
@@ -223,28 +228,28 @@
 }
 
 void Replica::OnPreVote(const Message& message, Micros now) {
-  const bool electable = message.term > hard_.term && IsLogUpToDate(message);
+  const bool electable = message.term > hard_state_.term && IsLogUpToDate(message);
   const bool lease_may_be_held = LeaseMayBeHeld(now);
   Message reply = NewMessage(MessageKind::kPreVoteReply, message.from);
   reply.term = message.term;
   reply.granted = electable && !lease_may_be_held;
-  // Only at the candidate's own term: whatever this replica comes to lead later is of a higher one.
-  reply.leaderless = electable && message.term == hard_.term + 1 && IsLeaderless(now);
+  // Only at the candidate's own term: this replica can then become leader only in a higher term.
+  reply.leaderless = electable && message.term == hard_state_.term + 1 && IsLeaderless(now);
   if (lease_may_be_held && !reply.leaderless) return;
   effects_.messages.push_back(std::move(reply));
 }
 
 void Replica::OnVote(const Message& message, Micros now) {
-  // While a lease may be held nobody else is elected, and terms do not rise.
+  // While a lease may be held, no other leader is elected and the term does not increase.
   const bool no_lease = message.leaderless && !seen_leader_;
   if (LeaseMayBeHeld(now) && !no_lease) return;
-  if (message.term > hard_.term) BecomeFollower(message.term, {});
+  if (message.term > hard_state_.term) BecomeFollower(message.term, {});
   Message reply = NewMessage(MessageKind::kVoteReply, message.from);
-  reply.granted = message.term == hard_.term && role_ == Role::kFollower && IsLogUpToDate(message) &&
-                  (hard_.vote.empty() || hard_.vote == message.from);
-  if (reply.granted && hard_.vote.empty()) {
-    hard_.vote = message.from;
-    effects_.hard_state = hard_;
+  reply.granted = message.term == hard_state_.term && role_ == Role::kFollower && IsLogUpToDate(message) &&
+                  (hard_state_.vote.empty() || hard_state_.vote == message.from);
+  if (reply.granted && hard_state_.vote.empty()) {
+    hard_state_.vote = message.from;
+    effects_.hard_state = hard_state_;
   }
   if (reply.granted) ResetElectionTimer(now);
   effects_.messages_after_write.push_back(std::move(reply));
@@ -252,9 +257,9 @@
 
 void Replica::OnVoteReply(const Message& message, Micros now) {
   const bool pre_vote = message.kind == MessageKind::kPreVoteReply;
-  if (!pre_vote && message.term > hard_.term) return BecomeFollower(message.term, {});
-  const bool expected = pre_vote ? role_ == Role::kPreCandidate && message.term == hard_.term + 1
-                                 : role_ == Role::kCandidate && message.term == hard_.term;
+  if (!pre_vote && message.term > hard_state_.term) return BecomeFollower(message.term, {});
+  const bool expected = pre_vote ? role_ == Role::kPreCandidate && message.term == hard_state_.term + 1
+                                 : role_ == Role::kCandidate && message.term == hard_state_.term;
   if (!expected) return;
   if (message.granted) votes_granted_.insert(message.from);
   if (message.leaderless) leaderless_voters_.insert(message.from);
--- a/src/control/consensus/encoding.cpp
+++ b/src/control/consensus/encoding.cpp
@@ -65,9 +65,9 @@
 
 void ToWire(const Members& members, wire::Members& out) {
   for (const Member& member : members) {
-    wire::Member& one = *out.add_members();
-    one.set_id(member.id);
-    one.set_address(member.address);
+    wire::Member& wire_member = *out.add_members();
+    wire_member.set_id(member.id);
+    wire_member.set_address(member.address);
   }
 }
 
@@ -84,7 +84,7 @@
   if (entry.kind == EntryKind::kMembers) ToWire(entry.members, *out.mutable_members());
 }
 
-// False where an entry claims to be of two kinds.
+// Returns false if the entry has the fields of two kinds.
 bool FromWire(const wire::Entry& in, Entry& entry) {
   if (in.has_command() && in.has_members()) return false;
   entry.term = in.term();
@@ -117,7 +117,7 @@
   return true;
 }
 
-// Whether all fields are present that a message of its kind requires.
+// Whether all fields that the message's kind requires are present.
 bool HasRequiredFields(const WireMessage& in) {
   switch (in.kind()) {
     case WireMessage::HEARTBEAT:
--- a/src/control/consensus/encoding.hpp
+++ b/src/control/consensus/encoding.hpp
@@ -1,6 +1,6 @@
-// Serialized form of consensus messages, log entries and snapshots: the protocol buffers of internal.proto,
-// both between processes and on disk. Commands and states are bytes in it, so that no text is escaped inside
-// a text.
+// Serialization of consensus messages, log entries and snapshots as the protocol buffers of internal.proto,
+// both between processes and on disk. Commands and states are bytes fields, which avoids escaping of nested
+// text.
 #ifndef VIOLETWING_CONTROL_CONSENSUS_ENCODING_HPP_
 #define VIOLETWING_CONTROL_CONSENSUS_ENCODING_HPP_
 
@@ -16,24 +16,25 @@
 
 namespace violetwing::consensus {
 
-/// Sets the fields of `out` that a message of this kind requires.
+/// Sets the fields of `out` that the kind of `message` requires.
 void ToWire(const Message& message, wire::ConsensusMessage& out);
-/// False where a field is missing that a message of its kind requires, or an entry claims to be of two kinds;
-/// `message` is then unspecified.
+/// Returns false if a field that the message's kind requires is missing, or an entry has the fields of two
+/// kinds; the content of `message` is then unspecified.
 bool FromWire(const wire::ConsensusMessage& in, Message& message);
 
-/// The bytes for the wire.
+/// Encodes a message for the wire.
 std::string Encode(const Message& message);
-/// The bytes for the wire and the disk.
+/// Encodes an entry for the wire and for disk.
 std::string Encode(const Entry& entry);
-/// The bytes for the disk.
+/// Encodes a snapshot for disk.
 std::string Encode(const Snapshot& snapshot);
 
-/// Empty where the bytes do not parse, or FromWire refuses them.
+/// Decodes a message. Empty if the bytes do not parse or FromWire rejects them.
 std::optional<Message> DecodeMessage(const std::string& bytes);
-/// An entry of no kind is a no-op. Errors: DecodeErrc::kMalformed and kAmbiguousKind.
+/// Decodes an entry; one without the fields of a kind is a no-op. Errors: DecodeErrc::kMalformed and
+/// DecodeErrc::kAmbiguousKind.
 Result<Entry> DecodeEntry(const std::string& bytes);
-/// Errors: DecodeErrc::kMalformed.
+/// Decodes a snapshot. Errors: DecodeErrc::kMalformed.
 Result<Snapshot> DecodeSnapshot(const std::string& bytes);
 
 }  // namespace violetwing::consensus
--- a/src/control/consensus/follower.cpp
+++ b/src/control/consensus/follower.cpp
@@ -1,4 +1,4 @@
-// The follower's side of replication: heartbeats, appended entries, and snapshots that arrive in chunks.
+// The follower's side of replication: heartbeats, appended entries, and snapshots received in chunks.
 #include <algorithm>
 #include <utility>
 
@@ -7,12 +7,13 @@
 namespace violetwing::consensus {
 
 void Replica::OnLeaderContact(const Message& message, Micros now) {
-  // Sent before it resigned, and overtaken: its entries count, but it leads no more.
+  // The sender resigned after sending this message, and the resignation arrived first. Its entries are valid,
+  // but it is no longer the leader.
   if (message.term == resigned_term_) return;
   Member leader{message.from, {}};
   for (const Member& member : members_)
     if (member.id == message.from) leader = member;
-  if (message.term > hard_.term || role_ != Role::kFollower)
+  if (message.term > hard_state_.term || role_ != Role::kFollower)
     BecomeFollower(message.term, leader);
   else
     known_leader_ = leader;
@@ -23,15 +24,15 @@
 }
 
 void Replica::OnHeartbeat(const Message& message, Micros now) {
-  if (message.term < hard_.term) {
+  if (message.term < hard_state_.term) {
     // The higher term in the reply makes the old leader step down.
     effects_.messages_after_write.push_back(NewMessage(MessageKind::kAppendReply, message.from));
     return;
   }
   OnLeaderContact(message, now);
-  AddReadProof(message);
+  AddQuorumConfirmation(message);
   CommitUpTo(std::min(message.commit, last()));
-  ApplyReadProofs();
+  ApplyQuorumConfirmations();
   if (message.succession_rank) return OnLeaderResigned(*message.succession_rank, now);
   Message reply = NewMessage(MessageKind::kHeartbeatReply, message.from);
   reply.sent_at = message.sent_at;
@@ -43,11 +44,11 @@
 
 void Replica::OnAppend(const Message& message, Micros now) {
   Message reply = NewMessage(MessageKind::kAppendReply, message.from);
-  if (message.term >= hard_.term) {
+  if (message.term >= hard_state_.term) {
     OnLeaderContact(message, now);
-    reply.term = hard_.term;
+    reply.term = hard_state_.term;
     if (message.index < snapshot_.index) {
-      // All up to the snapshot is committed, so it is known to match.
+      // All entries up to the snapshot are committed, so they are known to match.
       reply.granted = true;
       reply.index = snapshot_.index;
     } else if (message.index > last() || TermAt(message.index) != message.log_term) {
@@ -57,7 +58,7 @@
       reply.granted = true;
       reply.index = message.index + message.entries.size();
       CommitUpTo(std::min(message.commit, reply.index));
-      ApplyReadProofs();
+      ApplyQuorumConfirmations();
     }
   }
   effects_.messages_after_write.push_back(std::move(reply));
@@ -77,7 +78,7 @@
 
 void Replica::OnSnapshot(const Message& message, Micros now) {
   Message reply = NewMessage(MessageKind::kAppendReply, message.from);
-  if (message.term < hard_.term || !message.snapshot) {
+  if (message.term < hard_state_.term || !message.snapshot) {
     effects_.messages_after_write.push_back(std::move(reply));
     return;
   }
@@ -91,7 +92,7 @@
     effects_.messages.push_back(std::move(next_chunk_request));
     return;
   }
-  reply.term = hard_.term;
+  reply.term = hard_state_.term;
   reply.granted = true;
   reply.index = std::max(commit_, chunk.index);
   if (in_log) {
@@ -102,12 +103,12 @@
     InstallSnapshot(std::move(complete));
   }
   incoming_snapshot_.reset();
-  ApplyReadProofs();
+  ApplyQuorumConfirmations();
   effects_.messages_after_write.push_back(std::move(reply));
 }
 
-// Chunks are accepted in order. One that does not fit is answered by the offset reached, and sent again from
-// there.
+// Chunks are accepted in order. The reply to an unexpected chunk has the offset reached so far, from which
+// the leader continues.
 bool Replica::AddSnapshotChunk(const Message& message) {
   const Snapshot& chunk = *message.snapshot;
   const bool same_snapshot = incoming_snapshot_ && incoming_snapshot_->from == message.from &&
--- a/src/control/consensus/lease.cpp
+++ b/src/control/consensus/lease.cpp
@@ -1,4 +1,5 @@
-// The leader lease, and how followers learn that their state is recent enough to be read (Ongaro 2014, 6.4).
+// The leader lease, and the confirmations by which a follower knows that its state is recent enough to be
+// read (Ongaro 2014, 6.4).
 #include <algorithm>
 
 #include "control/consensus/replica.hpp"
@@ -6,15 +7,15 @@
 namespace violetwing::consensus {
 namespace {
 
-// Heartbeats whose commits are not yet applied; further ones only cost freshness.
-constexpr std::size_t kMaxPendingReadProofs = 64;
+// Maximum number of pending confirmations. When further ones are dropped, reads only become less fresh.
+constexpr std::size_t kMaxPendingConfirmations = 64;
 
 }  // namespace
 
 // ---- Leader ----
 
-// Only replicas that hold an entry of the leader's term count: they refuse their vote to any whose log ends
-// in an earlier term, also where an election needs not wait for the end of the lease.
+// Only replicas that store an entry of the leader's term count. They reject any candidate whose log ends in
+// an earlier term, even in an election that does not wait for the lease to expire.
 Micros Replica::LeaseStart() const {
   return ReachedByQuorum(now_, [this](const FollowerProgress& follower) {
     return follower.match_index >= term_start_index_ ? follower.acknowledged_heartbeat_sent_at : 0;
@@ -27,8 +28,8 @@
   return start > 0 && now - start < timing_.lease_duration;
 }
 
-// Followers that have yet to catch up count too: a leader that stepped down meanwhile would have to send them
-// everything again.
+// Followers that are still catching up count too: if the leader stepped down while they catch up, everything
+// would have to be sent to them again.
 bool Replica::IsQuorumActive(Micros now) const {
   if (members_.size() == 1) return true;
   const Micros acknowledged = ReachedByQuorum(
@@ -54,24 +55,27 @@
   return members_.size() == 1 ? now_ : LeaseStart();
 }
 
-// The leader had this replica's reply before it sent the heartbeat, and what a quorum had confirmed by then
-// was sent no longer ago than it says: both are measured back from this replica's own reading of its clock.
-void Replica::AddReadProof(const Message& heartbeat) {
+// The leader received this replica's reply before it sent the heartbeat, and at that time the quorum's
+// confirmation was at most `quorum_age` old. Subtracting that age from the time of the reply therefore gives
+// a lower bound of the confirmation time on this replica's own clock.
+void Replica::AddQuorumConfirmation(const Message& heartbeat) {
   if (heartbeat.follower_sent_at <= 0 || heartbeat.quorum_age < 0) return;
-  const ReadProof proof{heartbeat.leader_commit, heartbeat.follower_sent_at - heartbeat.quorum_age};
-  if (!pending_read_proofs_.empty() && pending_read_proofs_.back().commit >= proof.commit) {
-    ReadProof& latest = pending_read_proofs_.back();
-    if (latest.commit == proof.commit)
-      latest.confirmed_at = std::max(latest.confirmed_at, proof.confirmed_at);
+  const QuorumConfirmation confirmation{heartbeat.leader_commit,
+                                        heartbeat.follower_sent_at - heartbeat.quorum_age};
+  if (!pending_confirmations_.empty() && pending_confirmations_.back().commit >= confirmation.commit) {
+    QuorumConfirmation& latest = pending_confirmations_.back();
+    if (latest.commit == confirmation.commit)
+      latest.confirmed_at = std::max(latest.confirmed_at, confirmation.confirmed_at);
     return;
   }
-  if (pending_read_proofs_.size() < kMaxPendingReadProofs) pending_read_proofs_.push_back(proof);
+  if (pending_confirmations_.size() < kMaxPendingConfirmations)
+    pending_confirmations_.push_back(confirmation);
 }
 
-void Replica::ApplyReadProofs() {
-  while (!pending_read_proofs_.empty() && pending_read_proofs_.front().commit <= applied_) {
-    quorum_confirmed_at_ = std::max(quorum_confirmed_at_, pending_read_proofs_.front().confirmed_at);
-    pending_read_proofs_.pop_front();
+void Replica::ApplyQuorumConfirmations() {
+  while (!pending_confirmations_.empty() && pending_confirmations_.front().commit <= applied_) {
+    quorum_confirmed_at_ = std::max(quorum_confirmed_at_, pending_confirmations_.front().confirmed_at);
+    pending_confirmations_.pop_front();
   }
 }
 
--- a/src/control/consensus/log.cpp
+++ b/src/control/consensus/log.cpp
@@ -6,8 +6,8 @@
 namespace violetwing::consensus {
 namespace {
 
-// What is retained of the entries that a snapshot covers: a replica finds there what has come while the
-// snapshot was sent to it. At 12 changes a second, 40 s.
+// Bounds on the entries retained although a snapshot covers them. A replica that receives a snapshot finds
+// the entries appended during the transfer among them. 512 entries last about 40 s at 12 changes per second.
 constexpr std::size_t kMaxRetainedEntries = 512;
 constexpr std::size_t kMaxRetainedBytes = std::size_t{1024} * 1024;
 
--- a/src/control/consensus/log.hpp
+++ b/src/control/consensus/log.hpp
@@ -10,37 +10,37 @@
 
 namespace violetwing::consensus {
 
-/// Consecutive log entries after a base, which is the last entry that has been dropped. Some entries that the
-/// snapshot covers are retained, so that a replica which was behind when the snapshot was sent to it finds
-/// its next entries.
+/// Consecutive log entries after a base index, which is that of the last dropped entry. Some entries that the
+/// snapshot covers are retained, so that a replica to which the snapshot was sent can continue with the next
+/// entries.
 class Log {
  public:
-  /// `entries` are those from `base` + 1 on; `base_term` is the term of the entry at `base`.
+  /// `entries` start at index `base` + 1; `base_term` is the term of the entry at `base`.
   Log(Index base, Term base_term, std::vector<Entry> entries);
 
-  /// The index before the first entry held.
+  /// The index before the first entry of the log.
   Index base() const { return base_; }
-  /// The index of the last entry; base() if none is held.
+  /// The index of the last entry; base() if the log is empty.
   Index last_index() const { return base_ + entries_.size(); }
-  /// Of all entries held, in order.
+  /// All entries, in order.
   const std::deque<Entry>& entries() const { return entries_; }
-  /// `index` must be held: above base() and at most last_index().
+  /// The entry at `index`, which must be above base() and at most last_index().
   const Entry& At(Index index) const { return entries_[index - base_ - 1]; }
-  /// The term of the entry at `index`, also at base(); 0 if it is not held.
+  /// The term of the entry at `index`, which may be base(); 0 if the entry is not in the log.
   Term TermAt(Index index) const;
 
-  /// Adds an entry at last_index() + 1.
+  /// Appends an entry at last_index() + 1.
   void Append(Entry entry) { entries_.push_back(std::move(entry)); }
-  /// Drops the entries from `index` on, which must be above base().
+  /// Drops the entries from `index` on. `index` must be above base().
   void TruncateFrom(Index index);
   /// Drops all entries and continues after `base`.
   void Reset(Index base, Term base_term);
-  /// Drops the entries that a snapshot up to `snapshot_index` covers, but for the last ones (bounded in
-  /// number and in bytes of their commands).
+  /// Drops the entries that a snapshot up to `snapshot_index` covers, except for the last ones. The retained
+  /// ones are bounded in number and in bytes of their commands.
   void Compact(Index snapshot_index);
 
  private:
-  std::deque<Entry> entries_;  // entries_[0] is at base_ + 1
+  std::deque<Entry> entries_;  // entries_[0] has index base_ + 1
   Index base_;
   Term base_term_;
 };
--- a/src/control/consensus/membership.cpp
+++ b/src/control/consensus/membership.cpp
@@ -6,8 +6,8 @@
 namespace violetwing::consensus {
 namespace {
 
-// A voter is replaced after this part of the time to catch up; the rest is for an election, where the leader
-// was lost, and for two membership changes that wait for a slow disk.
+// A voter is replaced after the catch-up time divided by this. The rest of that time is reserved for an
+// election if the leader was lost, and for two membership changes on a slow disk.
 constexpr Micros kCatchUpDivisor = 2;
 // A voter that stalls for less than the minimum is never replaced.
 constexpr Micros kMinReplacementTimeout = 1'500'000;
@@ -15,7 +15,7 @@
 
 using Statuses = std::vector<FollowerStatus>;
 
-Members Without(Members members, const ReplicaId& id) {
+Members WithoutMember(Members members, const ReplicaId& id) {
   std::erase_if(members, [&](const Member& member) { return member.id == id; });
   return members;
 }
@@ -24,7 +24,7 @@
   return !follower.draining && now - follower.last_contact_at < policy.liveness_timeout;
 }
 
-// A voter whose machine now runs a learner: its disk was replaced, so it is lost for good.
+// Finds a voter whose machine now runs a learner. Its disk was replaced, so the voter is lost permanently.
 const FollowerStatus* FindVoterWithLostDisk(const Statuses& followers, const MembershipPolicy& policy,
                                             Micros now) {
   for (const FollowerStatus& voter : followers) {
@@ -68,17 +68,17 @@
 std::optional<Members> NextMembership(const Replica& leader, const MembershipPolicy& policy, Micros now) {
   if (!leader.Ready()) return std::nullopt;
   const Statuses followers = leader.FollowerStatuses();
-  if (const FollowerStatus* lost = FindVoterWithLostDisk(followers, policy, now))
-    return Without(leader.members(), lost->member.id);
-  const FollowerStatus* const successor = FindPromotableLearner(followers, policy, now);
-  if (successor == nullptr) return std::nullopt;
+  if (const FollowerStatus* lost_voter = FindVoterWithLostDisk(followers, policy, now))
+    return WithoutMember(leader.members(), lost_voter->member.id);
+  const FollowerStatus* const learner = FindPromotableLearner(followers, policy, now);
+  if (learner == nullptr) return std::nullopt;
   if (leader.members().size() < policy.target_voters) {
-    Members grown = leader.members();
-    grown.push_back(successor->member);
-    return grown;
+    Members members = leader.members();
+    members.push_back(learner->member);
+    return members;
   }
   if (const FollowerStatus* voter = FindReplaceableVoter(followers, policy, now))
-    return Without(leader.members(), voter->member.id);
+    return WithoutMember(leader.members(), voter->member.id);
   return std::nullopt;
 }
 
--- a/src/control/consensus/membership.hpp
+++ b/src/control/consensus/membership.hpp
@@ -1,4 +1,4 @@
-// Which replicas a group should have: the policy that its leader follows, one change at a time.
+// The policy by which a group's leader chooses its members, one change at a time.
 #ifndef VIOLETWING_CONTROL_CONSENSUS_MEMBERSHIP_HPP_
 #define VIOLETWING_CONTROL_CONSENSUS_MEMBERSHIP_HPP_
 
@@ -10,21 +10,22 @@
 
 namespace violetwing::consensus {
 
-/// When members are added and removed. Durations in microseconds.
+/// When members are added and removed. Durations are in microseconds.
 struct MembershipPolicy {
   std::size_t target_voters = 3;
-  /// A voter without contact for longer than this is removed, if a learner can take its place.
+  /// A voter without contact for longer than this is removed if a learner can replace it.
   Micros replacement_timeout = 2'000'000;
-  /// A learner must have had contact within this time to become a voter.
+  /// A learner becomes a voter only if the leader has had contact with it within this time.
   Micros liveness_timeout = 1'000'000;
 };
 
-/// `catch_up`: the time after its start, in microseconds, in which a machine still counts as lost, so that no
-/// other may be lost beside it. By then a successor must have the vote of the machine that it replaces.
+/// Returns the policy for a group of `target_voters`. `catch_up` is the time in microseconds after its start
+/// during which a machine still counts as failed, so that no additional machine may fail. Within this time a
+/// learner must have replaced a lost voter.
 MembershipPolicy MakeMembershipPolicy(std::size_t target_voters, Micros catch_up);
 
-/// The members after the next change, for Replica::ProposeMembers; empty if no change is due or `leader` is
-/// not ready to make one.
+/// The members after the next change, to pass to Replica::ProposeMembers. Empty if no change is due or
+/// `leader` is not ready to make one.
 std::optional<Members> NextMembership(const Replica& leader, const MembershipPolicy& policy, Micros now);
 
 }  // namespace violetwing::consensus
--- a/src/control/consensus/replica.cpp
+++ b/src/control/consensus/replica.cpp
@@ -1,4 +1,4 @@
-// Construction, message dispatch, proposals, and the log with the membership that follows from it.
+// Construction, message dispatch, proposals, the log, and the membership derived from it.
 #include "control/consensus/replica.hpp"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
     : id_(std::move(id)),
       timing_(timing),
       random_(seed, id_),
-      hard_(std::move(stored.hard_state)),
+      hard_state_(std::move(stored.hard_state)),
       snapshot_(std::move(stored.snapshot)),
       log_(snapshot_.index, snapshot_.term, std::move(stored.entries)),
       bootstrap_members_(std::move(bootstrap_members)),
@@ -19,7 +19,7 @@
       applied_(snapshot_.index),
       now_(now),
       started_at_(now),
-      last_leader_contact_at_(now),  // it may have acknowledged a lease just before it was restarted
+      last_leader_contact_at_(now),  // it may have acknowledged a lease just before a restart
       durable_index_(log_.last_index()) {
   RecomputeMembers();
   if (snapshot_.index > 0) effects_.snapshot_to_load = snapshot_;
@@ -37,7 +37,7 @@
   message.kind = kind;
   message.from = id_;
   message.to = to;
-  message.term = hard_.term;
+  message.term = hard_state_.term;
   return message;
 }
 
@@ -73,7 +73,7 @@
 
 ProposeResult Replica::Propose(std::string command) {
   if (!leader()) return ProposeError::kNotLeader;
-  const Index index = AppendEntry({hard_.term, EntryKind::kCommand, std::move(command), {}});
+  const Index index = AppendEntry({hard_state_.term, EntryKind::kCommand, std::move(command), {}});
   SendAppends(now_);
   return index;
 }
@@ -83,7 +83,7 @@
   if (!Ready()) return ProposeError::kNotReady;
   if (members_index_ > commit_) return ProposeError::kChangeInProgress;
   if (members == members_) return ProposeError::kUnchanged;
-  const Index index = AppendEntry({hard_.term, EntryKind::kMembers, {}, std::move(members)});
+  const Index index = AppendEntry({hard_state_.term, EntryKind::kMembers, {}, std::move(members)});
   SyncFollowers(now_);
   SendAppends(now_);
   return index;
--- a/src/control/consensus/replication.cpp
+++ b/src/control/consensus/replication.cpp
@@ -1,4 +1,5 @@
-// The leader's side of replication: what each follower is sent, what it stores, and what a quorum stores.
+// The leader's side of replication: sending entries, snapshots and heartbeats, tracking the progress of each
+// follower, and advancing the commit index.
 #include <algorithm>
 #include <utility>
 
@@ -7,20 +8,20 @@
 namespace violetwing::consensus {
 namespace {
 
-// Bounds of one append or chunk: they limit its size, the time that decoding takes, and how long heartbeats
-// to the same process wait behind it. An entry that is larger is sent alone.
+// Bounds on one append or snapshot chunk. They limit its size, its decoding time, and how long heartbeats to
+// the same process are delayed behind it. A larger entry is sent alone.
 constexpr std::size_t kMaxAppendEntries = 64;
 constexpr std::size_t kMaxAppendBytes = std::size_t{256} * 1024;
-// A learner without contact for this long is dropped: it asks to join again if it is alive.
+// A learner without contact for this long is dropped. If it is still running, it asks to join again.
 constexpr Micros kLearnerTimeout = 10'000'000;
 
 }  // namespace
 
 // ---- Followers ----
 
-// Makes followers_ the other members and the learners, without losing what is known of them.
+// Updates followers_ to the other members and the learners, and keeps the progress of those already in it.
 void Replica::SyncFollowers(Micros now) {
-  const auto ensure = [&](const Member& member) {
+  const auto add_follower = [&](const Member& member) {
     if (member.id == id_) return;
     FollowerProgress progress;
     progress.member = member;
@@ -31,10 +32,10 @@
     followers_.try_emplace(member.id, progress);
   };
   for (const Member& member : members_) {
-    ensure(member);
+    add_follower(member);
     learners_.erase(member.id);
   }
-  for (const auto& [id, learner] : learners_) ensure(learner);
+  for (const auto& [id, learner] : learners_) add_follower(learner);
   std::erase_if(followers_, [&](const auto& entry) {
     return !IsMember(entry.first) && learners_.count(entry.first) == 0;
   });
@@ -54,9 +55,10 @@
   std::vector<FollowerStatus> statuses;
   if (!leader()) return statuses;
   for (const auto& [id, follower] : followers_) {
-    const bool caught_up_lately =
+    const bool recently_caught_up =
         follower.caught_up_at > 0 && now_ - follower.caught_up_at < timing_.caught_up_validity;
-    const bool caught_up = follower.match_index > 0 && (follower.match_index >= commit_ || caught_up_lately);
+    const bool caught_up =
+        follower.match_index > 0 && (follower.match_index >= commit_ || recently_caught_up);
     statuses.push_back(
         {follower.member, IsMember(id), follower.last_contact_at, caught_up, draining_.count(id) > 0});
   }
@@ -65,7 +67,7 @@
 
 FollowerProgress* Replica::FindReplyingFollower(const Message& reply) {
   const auto it = followers_.find(reply.from);
-  if (!leader() || reply.term != hard_.term || it == followers_.end()) return nullptr;
+  if (!leader() || reply.term != hard_state_.term || it == followers_.end()) return nullptr;
   return &it->second;
 }
 
@@ -98,7 +100,7 @@
 }
 
 void Replica::OnAppendReply(const Message& message, Micros now) {
-  if (message.term > hard_.term) return BecomeFollower(message.term, {});
+  if (message.term > hard_state_.term) return BecomeFollower(message.term, {});
   FollowerProgress* const follower = FindReplyingFollower(message);
   if (follower == nullptr) return;
   follower->last_contact_at = now;
@@ -116,8 +118,8 @@
   if (follower->match_index < last()) SendAppend(*follower, now);
 }
 
-// Rounds as in Ongaro 2014, 4.2.1: under a steady load a replica that keeps coming closer may never hold all
-// entries at the moment at which it is looked at.
+// Catch-up is measured in rounds (Ongaro 2014, 4.2.1), because under steady load a replica that keeps up may
+// never store all entries at the time of a check.
 void Replica::UpdateCatchUpRound(FollowerProgress& follower, Micros now) const {
   if (follower.match_index < follower.round_target) return;
   if (now - follower.round_started_at <= timing_.min_election_timeout) follower.caught_up_at = now;
@@ -134,15 +136,15 @@
 void Replica::AdvanceCommit() {
   const Index index =
       ReachedByQuorum(durable_index_, [](const FollowerProgress& follower) { return follower.match_index; });
-  // Entries of earlier terms are committed only by one of this term that follows them (Ongaro 2014, 3.6.2).
-  if (index <= commit_ || TermAt(index) != hard_.term) return;
+  // Entries of earlier terms are committed only through a later entry of this term (Ongaro 2014, 3.6.2).
+  if (index <= commit_ || TermAt(index) != hard_state_.term) return;
   CommitUpTo(index);
-  SendHeartbeats(now_);  // so that the followers apply it at once
+  SendHeartbeats(now_);  // so that the followers apply the entries without delay
 }
 
 // ---- Snapshots ----
 
-// The next chunk of the snapshot in transfer; a new transfer begins where there is none.
+// Sends the next chunk of the snapshot in transfer. Starts a new transfer if there is none.
 void Replica::SendSnapshotChunk(FollowerProgress& follower) {
   if (!follower.snapshot) {
     follower.snapshot = std::make_shared<const Snapshot>(snapshot_);
--- a/tests/control/consensus/exploration_test.cpp
+++ b/tests/control/consensus/exploration_test.cpp
@@ -1,4 +1,4 @@
-// Exhaustive exploration of all orders of events within small bounds, on the shipped replicas.
+// Exhaustive exploration of all event orders within small bounds, with the production replica code.
 #include "testing/exploration.hpp"
 
 #include <catch2/catch.hpp>
@@ -7,27 +7,29 @@
 namespace violetwing::consensus {
 namespace {
 
-// Sanitized builds explore fewer.
+// CONSENSUS_STATES overrides the limit, for example in sanitizer builds, which are slower.
 std::size_t MaxStates() {
-  const char* wanted = std::getenv("CONSENSUS_STATES");
-  return wanted == nullptr ? 3'000'000 : std::strtoull(wanted, nullptr, 10);
+  const char* limit = std::getenv("CONSENSUS_STATES");
+  return limit == nullptr ? 3'000'000 : std::strtoull(limit, nullptr, 10);
 }
 
-// `states`: how many there are, 0 if that is not known. A change that keeps the behavior keeps their number.
-void Explore(const char* what, Bounds bounds, std::size_t committed, int leaders, std::size_t states = 0) {
-  bounds.states = MaxStates();
+// `states`: the expected number of states, 0 if unknown. A change that preserves behavior preserves the
+// number.
+void Explore(const char* scenario, Bounds bounds, std::size_t min_committed, int min_leaders,
+             std::size_t states = 0) {
+  bounds.max_states = MaxStates();
   Exploration exploration(bounds);
   const bool complete = exploration.Run();
-  WARN(what << ": " << exploration.states() << " states" << (complete ? "" : ", cut short"));
+  WARN(scenario << ": " << exploration.states() << " states" << (complete ? "" : ", incomplete"));
   for (const std::string& violation : exploration.violations()) {
     CAPTURE(violation);
-    FAIL("an invariant is broken");
+    FAIL("a safety property is violated");
   }
   if (std::getenv("CONSENSUS_STATES") != nullptr) return;
   CHECK(complete);
   if (states > 0) CHECK(exploration.states() == states);
-  CHECK(exploration.max_committed() >= committed);
-  CHECK(exploration.max_leaders() >= leaders);
+  CHECK(exploration.max_committed() >= min_committed);
+  CHECK(exploration.max_leaders() >= min_leaders);
 }
 
 }  // namespace
@@ -36,22 +38,22 @@
   Bounds bounds;
   bounds.elections = 1;
   bounds.proposals = 2;
-  Explore("two changes", bounds, 2, 1, 85345);
+  Explore("two commands", bounds, 2, 1, 85345);
 }
 
-TEST_CASE("Exhaustive exploration: two elections, the first leader resigns", "[.large]") {
+TEST_CASE("Exhaustive exploration: two elections, one resignation", "[.large]") {
   Bounds bounds;
   bounds.elections = 2;
   bounds.resignations = 1;
   Explore("resignation", bounds, 2, 2);
 }
 
-// Of the large ones the states are too many for each run of the tests; some were explored in part only
+// The cases tagged [.large] have too many states for every test run. Some were only explored partially
 // (docs/consensus.md).
 TEST_CASE("Exhaustive exploration: two elections", "[.large]") {
   Bounds bounds;
   bounds.elections = 2;
-  Explore("two looks for votes", bounds, 1, 1);
+  Explore("two elections", bounds, 1, 1);
 }
 
 TEST_CASE("Exhaustive exploration: one election, one restart") {
@@ -61,7 +63,7 @@
   Explore("restart", bounds, 1, 1, 31770);
 }
 
-TEST_CASE("Exhaustive exploration: one lost disk, whose machine rejoins") {
+TEST_CASE("Exhaustive exploration: one lost disk, then its machine rejoins") {
   Bounds bounds;
   bounds.elections = 1;
   bounds.lost_disks = 1;
@@ -73,15 +75,15 @@
   bounds.elections = 1;
   bounds.proposals = 1;
   bounds.restarts = 1;
-  Explore("a change, a restart", bounds, 2, 1, 2293272);
+  Explore("one command, one restart", bounds, 2, 1, 2293272);
 }
 
-TEST_CASE("Exhaustive exploration: one command, one lost disk, whose machine rejoins", "[.large]") {
+TEST_CASE("Exhaustive exploration: one command, one lost disk, then its machine rejoins", "[.large]") {
   Bounds bounds;
   bounds.elections = 1;
   bounds.proposals = 1;
   bounds.lost_disks = 1;
-  Explore("a change, a lost disk", bounds, 3, 1);
+  Explore("one command, one lost disk", bounds, 3, 1);
 }
 
 }  // namespace violetwing::consensus
--- a/tests/control/consensus/leader_failure_test.cpp
+++ b/tests/control/consensus/leader_failure_test.cpp
@@ -1,4 +1,4 @@
-// How long a group is without a leader, by what has happened to the one it had.
+// Time without a leader after each kind of fault of the leader.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cstdio>
@@ -12,22 +12,22 @@
 
 constexpr Micros kMillisecond = 1'000;
 constexpr Micros kSecond = 1'000'000;
-constexpr Micros kHostTick = 50 * kMillisecond;  // of a control process
+constexpr Micros kHostTick = 50 * kMillisecond;  // tick interval of a control process
 constexpr std::uint64_t kSeeds = 200;
-// The aim (docs/consensus.md, "Time without a leader").
-constexpr Micros kMedianAim = 600'000;
-constexpr Micros kWorstAim = 1'500'000;
-// A control process that is told to end does so after this long.
+// Targets from docs/consensus.md, "Time without a leader".
+constexpr Micros kMaxMedianTime = 600'000;
+constexpr Micros kMaxTime = 1'500'000;
+// A control process exits this long after it was asked to shut down.
 constexpr Micros kShutdownGrace = 300'000;
 
 enum class LeaderFault {
   kPowerOff,
   kFreeze,
-  kCutOff,
-  kNotHeard,      // what it sends is lost
-  kHearsNothing,  // what is sent to it is lost
-  kDiskHangs,
-  kShutsDown,
+  kPartition,
+  kOutboundLoss,  // all messages that it sends are lost
+  kInboundLoss,   // all messages to it are lost
+  kDiskStall,
+  kGracefulShutdown,
 };
 
 struct NamedFault {
@@ -36,11 +36,11 @@
 };
 constexpr NamedFault kFaults[] = {{LeaderFault::kPowerOff, "power off"},
                                   {LeaderFault::kFreeze, "freeze"},
-                                  {LeaderFault::kCutOff, "cut off"},
-                                  {LeaderFault::kNotHeard, "not heard"},
-                                  {LeaderFault::kHearsNothing, "hears nothing"},
-                                  {LeaderFault::kDiskHangs, "disk hangs"},
-                                  {LeaderFault::kShutsDown, "shuts down in order"}};
+                                  {LeaderFault::kPartition, "partition"},
+                                  {LeaderFault::kOutboundLoss, "outbound loss"},
+                                  {LeaderFault::kInboundLoss, "inbound loss"},
+                                  {LeaderFault::kDiskStall, "disk stall"},
+                                  {LeaderFault::kGracefulShutdown, "graceful shutdown"}};
 
 void Inject(Cluster& cluster, std::size_t leader, LeaderFault fault) {
   switch (fault) {
@@ -48,47 +48,48 @@
       return cluster.PowerOff(leader);
     case LeaderFault::kFreeze:
       return cluster.Freeze(leader, 20 * kSecond);
-    case LeaderFault::kDiskHangs:
+    case LeaderFault::kDiskStall:
       return cluster.StallDisk(leader, 20 * kSecond);
-    case LeaderFault::kShutsDown:
+    case LeaderFault::kGracefulShutdown:
       return cluster.BeginShutdown(leader);
     default:
       break;
   }
   for (std::size_t i = 0; i < cluster.size(); ++i) {
-    if (fault != LeaderFault::kHearsNothing) cluster.Cut(leader, i);
-    if (fault != LeaderFault::kNotHeard) cluster.Cut(i, leader);
+    if (fault != LeaderFault::kInboundLoss) cluster.Cut(leader, i);
+    if (fault != LeaderFault::kOutboundLoss) cluster.Cut(i, leader);
   }
 }
 
-// From the fault until there is a leader with a lease that the fault does not touch; 0 where there always is.
+// Time from the fault until there is an unaffected leader with a lease; 0 if there is one all the time.
 Micros TimeWithoutLeader(std::size_t voters, std::uint64_t seed, LeaderFault fault) {
   Cluster cluster(voters, voters, seed);
   for (int i = 0; i < 100 && !cluster.Leader(); ++i) cluster.Run(kSecond / 10);
   cluster.time_step = kMillisecond;
   cluster.tick_interval = kHostTick;
-  // Past the startup elections, and at any moment between two heartbeats.
+  // The fault occurs after the startup elections, at a random time between two heartbeats.
   cluster.Run(6 * kSecond + static_cast<Micros>(cluster.random().Below(kSecond)));
-  const std::size_t old = cluster.Leader().value();
-  const Micros from = cluster.now();
-  Inject(cluster, old, fault);
-  Micros last_without = from;
-  while (cluster.now() - from < 10 * kSecond) {
+  const std::size_t old_leader = cluster.Leader().value();
+  const Micros fault_at = cluster.now();
+  Inject(cluster, old_leader, fault);
+  Micros last_time_without_leader = fault_at;
+  while (cluster.now() - fault_at < 10 * kSecond) {
     cluster.Run(kMillisecond);
-    if (fault == LeaderFault::kShutsDown && cluster.IsRunning(old) && cluster.now() - from >= kShutdownGrace)
-      cluster.PowerOff(old);
+    if (fault == LeaderFault::kGracefulShutdown && cluster.IsRunning(old_leader) &&
+        cluster.now() - fault_at >= kShutdownGrace)
+      cluster.PowerOff(old_leader);
     const auto leader = cluster.Leader();
-    const bool leads = leader && (*leader != old || fault == LeaderFault::kDiskHangs);
-    if (!leads) last_without = cluster.now();
-    if (leads && *leader != old) break;
+    const bool has_leader = leader && (*leader != old_leader || fault == LeaderFault::kDiskStall);
+    if (!has_leader) last_time_without_leader = cluster.now();
+    if (has_leader && *leader != old_leader) break;
   }
   CHECK(cluster.violations().empty());
-  return last_without - from;
+  return last_time_without_leader - fault_at;
 }
 
 }  // namespace
 
-TEST_CASE("Another leader has a lease within the aim, whatever has happened to the one before") {
+TEST_CASE("A group has a leader with a lease again within the target time after any fault of its leader") {
   for (const std::size_t voters : {3, 5})
     for (const NamedFault& fault : kFaults) {
       std::vector<Micros> times;
@@ -96,14 +97,14 @@
         times.push_back(TimeWithoutLeader(voters, seed, fault.fault));
       std::sort(times.begin(), times.end());
       const Micros median = times[times.size() / 2];
-      const Micros high = times[times.size() * 99 / 100];
+      const Micros p99 = times[times.size() * 99 / 100];
       char line[160];
-      std::snprintf(line, sizeof line, "group of %zu, %s: median %.2f s, 99 in 100 %.2f s, worst %.2f s",
-                    voters, fault.name, static_cast<double>(median) / kSecond,
-                    static_cast<double>(high) / kSecond, static_cast<double>(times.back()) / kSecond);
+      std::snprintf(line, sizeof line, "group of %zu, %s: median %.2f s, p99 %.2f s, max %.2f s", voters,
+                    fault.name, static_cast<double>(median) / kSecond, static_cast<double>(p99) / kSecond,
+                    static_cast<double>(times.back()) / kSecond);
       WARN(line);
-      CHECK(median <= kMedianAim);
-      CHECK(times.back() <= kWorstAim);
+      CHECK(median <= kMaxMedianTime);
+      CHECK(times.back() <= kMaxTime);
     }
 }
 
--- a/tests/control/consensus/membership_test.cpp
+++ b/tests/control/consensus/membership_test.cpp
@@ -1,5 +1,5 @@
-// Membership changes: further machines may fail once the catch-up time of the failed ones is over, and no
-// acknowledged entry is lost with the members that are removed.
+// Tests of membership changes: once the catch-up time of failed machines is over, further machines may fail,
+// and no acknowledged entry is lost when members are removed.
 #include <catch2/catch.hpp>
 #include <string>
 
@@ -11,8 +11,8 @@
 constexpr Micros kSecond = 1'000'000;
 constexpr std::uint64_t kSeeds = 20;
 
-// A group of three that tolerates one failure, or of five that tolerates two, and as many spare machines,
-// which are not running yet.
+// A group of three that tolerates one failure, or of five that tolerates two, with as many spare machines,
+// which are initially powered off.
 class GroupWithSpares {
  public:
   GroupWithSpares(std::size_t voters, std::uint64_t seed)
@@ -22,19 +22,19 @@
     Commit("first");
   }
 
-  std::size_t tolerated() const { return spares_; }
+  std::size_t tolerated_failures() const { return spares_; }
   std::size_t spare(std::size_t i) const { return voters_ + i; }
-  bool Votes(std::size_t i) {
+  bool IsVoter(std::size_t i) {
     const auto leader = cluster.Leader();
     return leader && cluster.machine(*leader).replica->IsMember(cluster.machine(i).disk_id);
   }
-  std::size_t AwaitLeader(Micros most = 10 * kSecond) {
-    Await([&] { return cluster.Leader().has_value(); }, most);
+  std::size_t AwaitLeader(Micros timeout = 10 * kSecond) {
+    Await([&] { return cluster.Leader().has_value(); }, timeout);
     REQUIRE(cluster.Leader().has_value());
     return *cluster.Leader();
   }
-  bool Await(const std::function<bool()>& done, Micros most) {
-    for (const Micros until = cluster.now() + most; cluster.now() < until && !done();)
+  bool Await(const std::function<bool()>& done, Micros timeout) {
+    for (const Micros deadline = cluster.now() + timeout; cluster.now() < deadline && !done();)
       cluster.Run(Cluster::kTimeStep);
     return done();
   }
@@ -49,27 +49,27 @@
     INFO(command << cluster.Describe());
     REQUIRE(committed);
   }
-  // Permanently, the leader first if `with_leader`.
-  std::vector<std::size_t> Remove(std::size_t count, bool with_leader) {
-    std::vector<std::size_t> gone;
+  // Removes `count` machines permanently, starting with the leader if `with_leader`.
+  std::vector<std::size_t> RemoveMachines(std::size_t count, bool with_leader) {
+    std::vector<std::size_t> failed;
     const std::size_t leader = AwaitLeader();
-    for (std::size_t i = 0; gone.size() < count; ++i) {
-      const std::size_t one = (leader + i + (with_leader ? 0 : 1)) % voters_;
-      cluster.PowerOff(one);
-      cluster.machine(one).removed = true;
-      gone.push_back(one);
+    for (std::size_t i = 0; failed.size() < count; ++i) {
+      const std::size_t index = (leader + i + (with_leader ? 0 : 1)) % voters_;
+      cluster.PowerOff(index);
+      cluster.machine(index).removed = true;
+      failed.push_back(index);
     }
-    return gone;
+    return failed;
   }
   void StartSpares() {
     for (std::size_t i = 0; i < spares_; ++i) cluster.Start(spare(i));
   }
-  bool SparesVote() {
+  bool AllSparesAreVoters() {
     for (std::size_t i = 0; i < spares_; ++i)
-      if (!Votes(spare(i))) return false;
+      if (!IsVoter(spare(i))) return false;
     return true;
   }
-  void CheckNothingLost() {
+  void CheckNoEntryLost() {
     Commit("last");
     cluster.Run(kSecond);
     CHECK(cluster.HasAllAcknowledged(AwaitLeader()));
@@ -84,28 +84,28 @@
   const std::size_t spares_;
 };
 
-template <class Play>
-void ForEachGroup(Play play) {
+template <class TestBody>
+void ForEachGroup(TestBody body) {
   for (const std::size_t voters : {3, 5})
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       INFO("group of " << voters << ", seed " << seed);
-      play(voters, seed);
+      body(voters, seed);
     }
 }
 
 }  // namespace
 
-TEST_CASE("Successors become voters within the catch-up time, after which as many machines may fail again") {
+TEST_CASE("Spares become voters within the catch-up time, after which as many machines may fail again") {
   for (const bool with_leader : {false, true})
     ForEachGroup([&](std::size_t voters, std::uint64_t seed) {
       GroupWithSpares group(voters, seed);
-      group.Remove(group.tolerated(), with_leader);
+      group.RemoveMachines(group.tolerated_failures(), with_leader);
       group.cluster.Run(kSecond);
       group.StartSpares();
-      CHECK(group.Await([&] { return group.SparesVote(); }, group.cluster.catch_up_time));
+      CHECK(group.Await([&] { return group.AllSparesAreVoters(); }, group.cluster.catch_up_time));
       group.Commit("between");
-      group.Remove(group.tolerated(), true);
-      group.CheckNothingLost();
+      group.RemoveMachines(group.tolerated_failures(), true);
+      group.CheckNoEntryLost();
     });
 }
 
@@ -114,16 +114,16 @@
     GroupWithSpares group(voters, seed);
     group.StartSpares();
     group.cluster.Run(kSecond);
-    CHECK_FALSE(group.SparesVote());  // while all others are there
+    CHECK_FALSE(group.AllSparesAreVoters());  // all voters are running
     const std::size_t leader = group.AwaitLeader();
-    for (std::size_t i = 0; i < group.tolerated(); ++i)
+    for (std::size_t i = 0; i < group.tolerated_failures(); ++i)
       group.cluster.machine((leader + 1 + i) % voters).draining = true;
-    CHECK(group.Await([&] { return group.SparesVote(); }, 3 * kSecond / 10));
-    group.CheckNothingLost();
+    CHECK(group.Await([&] { return group.AllSparesAreVoters(); }, 3 * kSecond / 10));
+    group.CheckNoEntryLost();
   });
 }
 
-TEST_CASE("A draining leader that shuts down is replaced as soon as another one leads") {
+TEST_CASE("A draining leader that shuts down is replaced once a new leader is elected") {
   ForEachGroup([&](std::size_t voters, std::uint64_t seed) {
     GroupWithSpares group(voters, seed);
     group.StartSpares();
@@ -133,8 +133,8 @@
     group.cluster.Run(3 * kSecond / 10);
     group.cluster.PowerOff(leader);
     group.cluster.machine(leader).removed = true;
-    CHECK(group.Await([&] { return group.cluster.Leader() && !group.Votes(leader); }, 2 * kSecond));
-    group.CheckNothingLost();
+    CHECK(group.Await([&] { return group.cluster.Leader() && !group.IsVoter(leader); }, 2 * kSecond));
+    group.CheckNoEntryLost();
   });
 }
 
@@ -146,57 +146,58 @@
     const std::size_t frozen = (group.AwaitLeader() + 1) % voters;
     group.cluster.Freeze(frozen, kSecond);
     group.cluster.Run(3 * kSecond);
-    CHECK(group.Votes(frozen));
-    group.CheckNothingLost();
+    CHECK(group.IsVoter(frozen));
+    group.CheckNoEntryLost();
   });
 }
 
 TEST_CASE("Without a spare no unresponsive voter is removed") {
   ForEachGroup([&](std::size_t voters, std::uint64_t seed) {
     GroupWithSpares group(voters, seed);
-    const std::size_t gone = (group.AwaitLeader() + 1) % voters;
-    group.cluster.PowerOff(gone);
+    const std::size_t failed = (group.AwaitLeader() + 1) % voters;
+    group.cluster.PowerOff(failed);
     group.cluster.Run(30 * kSecond);
-    CHECK(group.Votes(gone));
-    group.cluster.Start(gone);
-    group.CheckNothingLost();
+    CHECK(group.IsVoter(failed));
+    group.cluster.Start(failed);
+    group.CheckNoEntryLost();
   });
 }
 
-TEST_CASE("A voter replaced while frozen does no harm, and rejoins when needed") {
+TEST_CASE("A voter that was replaced while frozen causes no violation and rejoins when needed") {
   ForEachGroup([&](std::size_t voters, std::uint64_t seed) {
     GroupWithSpares group(voters, seed);
     group.StartSpares();
     group.cluster.Run(kSecond);
     const std::size_t frozen = group.AwaitLeader();
     group.cluster.Freeze(frozen, 6 * kSecond);
-    CHECK(group.Await([&] { return group.cluster.Leader() && !group.Votes(frozen); }, 5 * kSecond));
+    CHECK(group.Await([&] { return group.cluster.Leader() && !group.IsVoter(frozen); }, 5 * kSecond));
     group.Commit("meanwhile");
     group.cluster.Run(7 * kSecond);
-    CHECK_FALSE(group.Votes(frozen));
-    for (std::size_t i = 0; i < group.tolerated(); ++i) group.cluster.PowerOff(group.spare(i));
-    CHECK(group.Await([&] { return group.cluster.Leader() && group.Votes(frozen); }, 5 * kSecond));
-    group.CheckNothingLost();
+    CHECK_FALSE(group.IsVoter(frozen));
+    for (std::size_t i = 0; i < group.tolerated_failures(); ++i) group.cluster.PowerOff(group.spare(i));
+    CHECK(group.Await([&] { return group.cluster.Leader() && group.IsVoter(frozen); }, 5 * kSecond));
+    group.CheckNoEntryLost();
   });
 }
 
-TEST_CASE("A successor that fails during a membership change leaves the group unchanged or one smaller") {
+TEST_CASE("A spare that fails during a membership change leaves the group unchanged or smaller by one") {
   for (Micros after = 0; after < 300'000; after += Cluster::kTimeStep)
     for (const std::size_t voters : {3, 5}) {
-      INFO("group of " << voters << ", dies after " << after << " us");
+      INFO("group of " << voters << ", spare fails after " << after << " us");
       GroupWithSpares group(voters, 1 + static_cast<std::uint64_t>(after));
       const std::size_t spare = group.spare(0);
-      const std::size_t leaving = (group.AwaitLeader() + 1) % voters;
+      const std::size_t draining_voter = (group.AwaitLeader() + 1) % voters;
       group.cluster.Start(spare);
       group.cluster.Run(kSecond);
-      group.cluster.machine(leaving).draining = true;
+      group.cluster.machine(draining_voter).draining = true;
       group.cluster.Run(after);
       group.cluster.PowerOff(spare);
       group.Commit("without it");
-      // The one that was to leave is there still, and stays.
-      group.cluster.machine(leaving).draining = false;
-      CHECK(group.Await([&] { return group.cluster.Leader() && group.Votes(leaving); }, 5 * kSecond));
-      group.CheckNothingLost();
+      // The draining machine is still running and remains a voter once it no longer drains.
+      group.cluster.machine(draining_voter).draining = false;
+      CHECK(
+          group.Await([&] { return group.cluster.Leader() && group.IsVoter(draining_voter); }, 5 * kSecond));
+      group.CheckNoEntryLost();
     }
 }
 
@@ -205,27 +206,27 @@
     GroupWithSpares group(voters, seed);
     const std::size_t leader = group.AwaitLeader();
     const std::size_t majority = voters / 2 + 1;
-    // The rest of the group hears nothing, while a bare majority takes a change in.
+    // Isolate the rest of the group, so that only a bare majority stores the entry.
     for (std::size_t i = majority; i < voters; ++i)
       for (std::size_t j = 0; j < group.cluster.size(); ++j) {
         group.cluster.Cut((leader + i) % voters, j);
         group.cluster.Cut(j, (leader + i) % voters);
       }
-    group.Commit("held by few");
+    group.Commit("stored by a bare majority");
     group.StartSpares();
     group.cluster.Heal();
-    group.Remove(group.tolerated(), true);
-    CHECK(group.Await([&] { return group.SparesVote(); }, 10 * kSecond));
-    group.Remove(group.tolerated(), true);
-    group.CheckNothingLost();
+    group.RemoveMachines(group.tolerated_failures(), true);
+    CHECK(group.Await([&] { return group.AllSparesAreVoters(); }, 10 * kSecond));
+    group.RemoveMachines(group.tolerated_failures(), true);
+    group.CheckNoEntryLost();
   });
 }
 
-TEST_CASE("Machines with lost disks, as many as tolerated, vote again within the catch-up time") {
+TEST_CASE("The maximum tolerated number of machines with lost disks vote again within the catch-up time") {
   ForEachGroup([&](std::size_t voters, std::uint64_t seed) {
     GroupWithSpares group(voters, seed);
     const std::size_t leader = group.AwaitLeader();
-    for (std::size_t i = 0; i < group.tolerated(); ++i) {
+    for (std::size_t i = 0; i < group.tolerated_failures(); ++i) {
       const std::size_t victim = (leader + i) % voters;
       group.cluster.LoseDisk(victim);
       group.cluster.Run(kSecond / 3);
@@ -233,13 +234,14 @@
     }
     CHECK(group.Await([&] { return group.cluster.HasFullMembership(); }, group.cluster.catch_up_time));
     group.Commit("between");
-    group.Remove(group.tolerated(), true);
-    group.CheckNothingLost();
+    group.RemoveMachines(group.tolerated_failures(), true);
+    group.CheckNoEntryLost();
   });
 }
 
-// Asked to be taken in, and then gone: a leader that sent to all that ever asked would have more with each.
-TEST_CASE("An unresponsive learner is sent nothing any more") {
+// A leader that kept sending to every learner that ever asked to join would have an ever-growing set of
+// followers.
+TEST_CASE("A leader stops sending to an unresponsive learner") {
   GroupWithSpares group(3, 1);
   group.StartSpares();
   group.cluster.Run(kSecond);
@@ -257,7 +259,7 @@
   CHECK(group.Await([&] { return group.cluster.HasAllAcknowledged(group.spare(0)); }, 3 * kSecond));
 }
 
-TEST_CASE("The replacement timeout of a voter follows the catch-up time of its machine") {
+TEST_CASE("The replacement timeout is half the catch-up time within fixed bounds") {
   CHECK(MakeMembershipPolicy(3, 4 * kSecond).replacement_timeout == 2 * kSecond);
   CHECK(MakeMembershipPolicy(5, 6 * kSecond).replacement_timeout == 3 * kSecond);
   CHECK(MakeMembershipPolicy(3, 0).replacement_timeout > MakeMembershipPolicy(3, 0).liveness_timeout);
--- a/tests/control/consensus/replica_test.cpp
+++ b/tests/control/consensus/replica_test.cpp
@@ -1,4 +1,4 @@
-// A group of replicas under faults, on a virtual clock.
+// Tests of a group of replicas under faults, on a virtual clock.
 #include <catch2/catch.hpp>
 #include <cstdlib>
 
@@ -9,7 +9,7 @@
 
 constexpr Micros kSecond = 1'000'000;
 
-// The leader, after the time that an election may take.
+// Runs the cluster until it has a leader, for at most 10 seconds.
 std::size_t AwaitLeader(Cluster& cluster) {
   for (int i = 0; i < 100 && !cluster.Leader(); ++i) cluster.Run(kSecond / 10);
   INFO(cluster.Describe());
@@ -44,25 +44,25 @@
 
 TEST_CASE("A partitioned leader commits nothing and loses its lease while the majority continues") {
   Cluster cluster(3, 3, 2);
-  const std::size_t old = AwaitLeader(cluster);
+  const std::size_t old_leader = AwaitLeader(cluster);
   for (std::size_t i = 0; i < 3; ++i) {
-    cluster.Cut(old, i);
-    cluster.Cut(i, old);
+    cluster.Cut(old_leader, i);
+    cluster.Cut(i, old_leader);
   }
-  cluster.Propose(old, "lost");
+  cluster.Propose(old_leader, "lost");
   cluster.Run(3 * kSecond);
-  CHECK_FALSE(cluster.machine(old).replica->HasLease(cluster.now()));
-  CHECK_FALSE(cluster.machine(old).replica->HasQuorumContact(cluster.now()));
+  CHECK_FALSE(cluster.machine(old_leader).replica->HasLease(cluster.now()));
+  CHECK_FALSE(cluster.machine(old_leader).replica->HasQuorumContact(cluster.now()));
   CHECK(cluster.acknowledged().count("lost") == 0);
   Commit(cluster, "kept");
   cluster.Heal();
   cluster.Run(3 * kSecond);
-  CHECK(cluster.HasAllAcknowledged(old));
+  CHECK(cluster.HasAllAcknowledged(old_leader));
   CHECK(cluster.violations().empty());
 }
 
-// What a new disk under the old identity would get wrong: an entry is on A and B, C misses it; B's disk is
-// lost and A is down; then B and C must not elect a leader without A.
+// The failure that a new disk under the old identity would cause: an entry is stored on A and B but not on C.
+// B loses its disk and A is down. B and C must then not elect a leader without A.
 TEST_CASE("A replica with a new disk grants no vote that would make a stale minority a quorum") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Cluster cluster(3, 3, seed);
@@ -108,9 +108,9 @@
   Cluster cluster(4, 3, 5);
   AwaitLeader(cluster);
   Commit(cluster, "before");
-  const std::size_t gone = *cluster.Leader();
-  cluster.PowerOff(gone);
-  cluster.machine(gone).removed = true;
+  const std::size_t failed = *cluster.Leader();
+  cluster.PowerOff(failed);
+  cluster.machine(failed).removed = true;
   cluster.Run(12 * kSecond);
   CHECK(cluster.machine(3).replica->IsMember(cluster.machine(3).disk_id));
   cluster.PowerOff(*cluster.Leader());
@@ -133,7 +133,7 @@
   }
 }
 
-// As many disks as are tolerated are lost, and all other machines lose power at that moment.
+// The maximum tolerated number of disks is lost while all other machines lose power.
 TEST_CASE("Acknowledged entries survive one lost disk and a power failure of the others") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     Cluster cluster(3, 3, seed);
@@ -151,16 +151,16 @@
   }
 }
 
-// Nobody can hold a lease then, so they need not wait for one to expire.
+// If all voters restart, none can hold a lease, so they need not wait for one to expire.
 TEST_CASE("Voters that all restart elect a leader without waiting for a lease to expire") {
-  // The settling time of 200 ms, half a turn, a tick, a round of pre-votes and one of votes with a write each
-  // of up to 20 ms, and their heartbeats; a turn more where the first lacks the last entry.
+  // The startup election delay of 200 ms, half a slot, a tick, a round of pre-votes and one of votes with a
+  // write of up to 20 ms each, and the heartbeats. One more slot if the first candidate lacks the last entry.
   constexpr Micros kWithinFirstSlot = 400'000;
   constexpr Micros kMaxElectionTime = 500'000;
   int in_first_slot = 0;
   for (const Micros tick_interval : {Cluster::kTimeStep, 5 * Cluster::kTimeStep}) {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-      INFO("seed " << seed << ", a tick of " << tick_interval);
+      INFO("seed " << seed << ", tick interval " << tick_interval);
       Cluster cluster(5, 5, seed);
       cluster.tick_interval = tick_interval;
       const std::size_t leader = AwaitLeader(cluster);
@@ -179,7 +179,8 @@
   CHECK(in_first_slot >= 180);
 }
 
-// The one voter that did not stop may hold a lease that the others acknowledged before they stopped.
+// The leader, the only voter that is not restarted, may hold a lease that the others acknowledged before
+// their restart.
 TEST_CASE("A running leader keeps its lease while all other voters restart") {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     INFO("seed " << seed);
@@ -188,7 +189,7 @@
     cluster.Run(kSecond);
     for (std::size_t i = 0; i < cluster.size(); ++i) {
       if (i == leader) continue;
-      cluster.Cut(leader, i);  // it does not hear that they start, nor they that it leads
+      cluster.Cut(leader, i);  // the restarted voters receive no heartbeats from the leader
       cluster.Kill(i);
       cluster.Start(i);
     }
@@ -199,9 +200,9 @@
   }
 }
 
-// Any process may be killed at any time and restart at once, also during membership changes and with delayed
-// messages.
-TEST_CASE("Processes that are killed and restarted at once never cause two leaders at a time") {
+// Any process may be killed at any time and restarted immediately, including during membership changes and
+// with delayed messages.
+TEST_CASE("Processes that are killed and immediately restarted never cause two leaders at the same time") {
   for (std::uint64_t seed = 1; seed <= 400; ++seed) {
     INFO("seed " << seed);
     Cluster cluster(4 + seed % 2, 3 + 2 * (seed % 2), seed);
@@ -210,7 +211,7 @@
     Random& random = cluster.random();
     int proposed = 0;
     for (int round = 0; round < 30; ++round) {
-      if (cluster.size() == 4 && round % 10 == 9) {  // the fourth takes the place of a lost disk
+      if (cluster.size() == 4 && round % 10 == 9) {  // the fourth replaces a machine whose disk is lost
         for (int i = 0; i < 30 && !cluster.HasFullMembership(); ++i) cluster.Run(kSecond / 2);
         REQUIRE(cluster.HasFullMembership());
         const std::size_t victim = random.Below(cluster.size());
@@ -242,13 +243,13 @@
 
 TEST_CASE("A leader that resumes after a freeze has no lease, and its delayed messages have no effect") {
   Cluster cluster(3, 3, 6);
-  const std::size_t old = AwaitLeader(cluster);
-  cluster.Freeze(old, 4 * kSecond);
+  const std::size_t old_leader = AwaitLeader(cluster);
+  cluster.Freeze(old_leader, 4 * kSecond);
   cluster.Run(3 * kSecond);
   Commit(cluster, "meanwhile");
   cluster.Run(kSecond + Cluster::kTimeStep);
   cluster.Run(2 * kSecond);
-  CHECK(cluster.HasAllAcknowledged(old));
+  CHECK(cluster.HasAllAcknowledged(old_leader));
   CHECK(cluster.violations().empty());
 }
 
@@ -262,22 +263,22 @@
   CHECK(cluster.violations().empty());
 }
 
-TEST_CASE("Nothing is lost when a message of any kind is dropped or has a field changed") {
+TEST_CASE("No entry is lost when a message of any kind is dropped or modified") {
   const MessageKind kinds[] = {
       MessageKind::kPreVote,   MessageKind::kPreVoteReply, MessageKind::kVote,
       MessageKind::kVoteReply, MessageKind::kHeartbeat,    MessageKind::kHeartbeatReply,
       MessageKind::kAppend,    MessageKind::kAppendReply,  MessageKind::kSnapshot};
-  // What a network or an older process may do to a message. A reply that claims more than was written is a
-  // lie that no quorum system survives, so replies are changed only to claim less.
-  const auto change = [](Message& message, int how) {
-    switch (how) {
+  // Faults that a network or an older process may cause. No quorum system tolerates a reply that acknowledges
+  // more than was written, so replies are only changed to acknowledge less.
+  const auto apply_mutation = [](Message& message, int mutation) {
+    switch (mutation) {
       case 0:
         return false;
       case 1:
         message.term = message.term > 0 ? message.term - 1 : 0;
         return true;
       case 2:
-        message.to = "disk/of another";
+        message.to = "disk/other";
         return true;
       case 3:
         message.granted = false;
@@ -294,12 +295,12 @@
     }
   };
   for (const MessageKind kind : kinds)
-    for (int how = 0; how < 6; ++how)
+    for (int mutation = 0; mutation < 6; ++mutation)
       for (int nth = 0; nth < 4; ++nth) {
-        Cluster cluster(4, 3, static_cast<std::uint64_t>(100 + how));
+        Cluster cluster(4, 3, static_cast<std::uint64_t>(100 + mutation));
         int seen = 0;
         cluster.mutate = [&](Message& message) {
-          return message.kind != kind || seen++ != nth || change(message, how);
+          return message.kind != kind || seen++ != nth || apply_mutation(message, mutation);
         };
         AwaitLeader(cluster);
         for (int i = 0; i < 30; ++i) Commit(cluster, std::to_string(i));
@@ -316,8 +317,8 @@
 
 namespace {
 
-// Injects one fault on one machine; `span` is its duration where it ends by itself.
-void InjectFault(Cluster& cluster, std::size_t victim, std::uint64_t kind, Micros span) {
+// Injects a fault of the given kind on one machine. `duration` applies to faults that end by themselves.
+void InjectFault(Cluster& cluster, std::size_t victim, std::uint64_t kind, Micros duration) {
   switch (kind) {
     case 0:
       return cluster.Kill(victim);
@@ -326,9 +327,9 @@
     case 2:
       return cluster.LoseDisk(victim);
     case 3:
-      return cluster.Freeze(victim, span);
+      return cluster.Freeze(victim, duration);
     case 4:
-      return cluster.StallDisk(victim, span);
+      return cluster.StallDisk(victim, duration);
     case 5:
       for (std::size_t i = 0; i < cluster.size(); ++i) {
         cluster.Cut(victim, i);
@@ -343,14 +344,14 @@
   }
 }
 
-std::uint64_t NumberFromEnvironment(const char* name, std::uint64_t otherwise) {
+std::uint64_t NumberFromEnvironment(const char* name, std::uint64_t default_value) {
   const char* const text = std::getenv(name);
-  return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? default_value : std::strtoull(text, nullptr, 10);
 }
 
-// Random faults, on as many machines at a time as the deployments tolerate: one of a group of three, two of a
-// group of five. Some have a spare machine besides.
-void PlaySchedules(std::uint64_t schedules, Cluster::Disks disks) {
+// Injects random faults on as many machines at a time as a group tolerates: one of three, two of five. Some
+// clusters also have a spare machine.
+void RunSchedules(std::uint64_t schedules, Cluster::Disks disks) {
   const std::uint64_t first = NumberFromEnvironment("CONSENSUS_FIRST", 1);
   std::size_t committed = 0;
   for (std::uint64_t seed = first; seed < first + schedules; ++seed) {
@@ -364,10 +365,10 @@
     int proposed = 0;
     for (int round = 0; round < 4; ++round) {
       const std::size_t first_victim = random.Below(cluster.size());
-      const Micros span = static_cast<Micros>(random.Below(4 * kSecond));
+      const Micros duration = static_cast<Micros>(random.Below(4 * kSecond));
       for (std::size_t i = 0; i < voters / 2; ++i)
-        InjectFault(cluster, (first_victim + i) % cluster.size(), random.Below(8), span);
-      for (Micros left = span; left > 0; left -= kSecond / 4) {
+        InjectFault(cluster, (first_victim + i) % cluster.size(), random.Below(8), duration);
+      for (Micros remaining = duration; remaining > 0; remaining -= kSecond / 4) {
         for (std::size_t i = 0; i < cluster.size(); ++i)
           if (random.Below(3) == 0)
             cluster.Propose(i, std::to_string(seed) + "/" + std::to_string(proposed++));
@@ -376,11 +377,11 @@
       cluster.Heal();
       for (std::size_t i = 0; i < cluster.size(); ++i)
         if (!cluster.IsRunning(i)) cluster.Start(i);
-      // The next is lost only when this one has caught up: two lost disks of three are beyond what is
-      // tolerated.
+      // Wait for full membership before the next disk is lost: a group of three does not tolerate two lost
+      // disks.
       cluster.Run(5 * kSecond);
       for (int i = 0; i < 20 && !cluster.HasFullMembership(); ++i) {
-        // One whose disk could not be read is started again.
+        // Restart machines whose disk could not be read.
         for (std::size_t machine = 0; machine < cluster.size(); ++machine)
           if (!cluster.IsRunning(machine)) cluster.Start(machine);
         cluster.Run(kSecond);
@@ -401,13 +402,14 @@
 }  // namespace
 
 TEST_CASE("Random fault schedules preserve the log") {
-  PlaySchedules(NumberFromEnvironment("CONSENSUS_SCHEDULES", 400), Cluster::Disks::kModel);
+  RunSchedules(NumberFromEnvironment("CONSENSUS_SCHEDULES", 400), Cluster::Disks::kModel);
 }
 
 TEST_CASE(
-    "Random fault schedules preserve the log on the shipped database, with torn writes and read errors") {
-  constexpr std::uint64_t kShare = 5;  // these schedules take longer
-  PlaySchedules(NumberFromEnvironment("CONSENSUS_SCHEDULES", 400) / kShare, Cluster::Disks::kDatabase);
+    "Random fault schedules preserve the log on the production database, with torn writes and read errors") {
+  constexpr std::uint64_t kScheduleDivisor = 5;  // schedules with the database take longer
+  RunSchedules(NumberFromEnvironment("CONSENSUS_SCHEDULES", 400) / kScheduleDivisor,
+               Cluster::Disks::kDatabase);
 }
 
 }  // namespace violetwing::consensus
--- a/tests/testing/cluster.hpp
+++ b/tests/testing/cluster.hpp
@@ -1,5 +1,5 @@
-// A deterministic simulation of one replicated log: replicas on a virtual clock, with a network that delays,
-// drops, duplicates and blocks messages, and disks that lose what was not synced, or everything.
+// A deterministic simulation of one replicated log: replicas on a virtual clock, a network that delays,
+// drops, duplicates and blocks messages, and disks that lose unsynced writes or all data.
 #ifndef VIOLETWING_TESTS_TESTING_CLUSTER_HPP_
 #define VIOLETWING_TESTS_TESTING_CLUSTER_HPP_
 
@@ -23,8 +23,8 @@
 
 namespace violetwing::consensus {
 
-/// Machines with one replica each. Violations of the safety properties (one leader a term, one lease at a
-/// time, one entry an index) are collected in violations(). All times are microseconds of the virtual clock.
+/// Machines with one replica each. Violations of the safety properties (one leader per term, one lease at a
+/// time, one entry per index) are collected in violations(). All times are microseconds of the virtual clock.
 class Cluster {
  public:
   static constexpr Micros kTimeStep = 10'000;
@@ -34,27 +34,27 @@
   struct Machine {
     std::string address;
     std::string disk_id;
-    StoredState disk;                    // what survives a power failure
+    StoredState disk;                    // state that survives a power failure
     std::deque<Effects> writes;          // queued and not yet durable
-    std::size_t writes_in_progress = 0;  // of `writes`, those covered by the sync in progress
+    std::size_t writes_in_progress = 0;  // number of `writes` that the sync in progress covers
     Micros write_done_at = 0;            // end of the sync in progress
     std::unique_ptr<Replica> replica;
-    Micros frozen_until = 0;  // the process takes no step before then
+    Micros frozen_until = 0;  // the process is paused until then
     Micros disk_stalled_until = 0;
     Micros max_write_duration = 20'000;               // exclusive upper bound of a sync's duration
-    std::vector<std::string> applied;                 // commands in the state machine's state
+    std::vector<std::string> applied;                 // commands in the state of the state machine
     bool removed = false;                             // no longer asks to join
-    bool draining = false;                            // has announced its shutdown to all
-    bool database_is_open = false;                    // as it is new, and not read yet
-    std::unique_ptr<testing::DatabaseDisk> database;  // holds the same as `disk`; null: `disk` alone
+    bool draining = false;                            // has announced its shutdown
+    bool database_is_open = false;                    // newly created and not yet read
+    std::unique_ptr<testing::DatabaseDisk> database;  // same content as `disk`; null for Disks::kModel
   };
-  /// What the machines' disks are.
+  /// The implementation of the machines' disks.
   enum class Disks {
-    kModel,     ///< a StoredState, of whose unsynced writes a prefix survives
-    kDatabase,  ///< the shipped database, on a disk that loses power at any operation and may fail to read
+    kModel,     ///< a StoredState; a prefix of the unsynced writes survives a power failure
+    kDatabase,  ///< the production database, on a disk with power failures at any operation and read errors
   };
 
-  /// Starts `machines`, of which the first `bootstrap_count` form the group; the others are spares.
+  /// Starts `machines` machines. The first `bootstrap_count` form the group; the others are spares.
   Cluster(std::size_t machines, std::size_t bootstrap_count, std::uint64_t seed, Disks disks = Disks::kModel)
       : disks_(disks), seed_(seed), random_(seed) {
     for (std::size_t i = 0; i < machines; ++i) {
@@ -75,12 +75,12 @@
   Random& random() { return random_; }
   /// Descriptions of violated safety properties.
   const std::vector<std::string>& violations() const { return violations_; }
-  /// Commands that some machine has applied.
+  /// Commands that at least one machine has applied.
   const std::set<std::string>& acknowledged() const { return acknowledged_; }
 
   // ---- Faults ----
 
-  /// Starts the process of machine `i` from its disk. One that cannot be read leaves the process ended.
+  /// Starts the process of machine `i` from its disk. If the disk cannot be read, the process stays down.
   void Start(std::size_t i) {
     Machine& machine = machines_[i];
     if (machine.database != nullptr && !ReadDatabase(machine)) return;
@@ -92,9 +92,9 @@
     ApplyEffects(i);
   }
   bool IsRunning(std::size_t i) const { return machines_[i].replica != nullptr; }
-  /// Writes in progress end with the process: the next one never sees one complete later.
+  /// Ends the process. Writes in progress end with it: none completes after the next process has started.
   void Kill(std::size_t i) { PowerOff(i); }
-  /// A prefix of the writes that were not synced may have reached the disk.
+  /// Ends the process. A prefix of the unsynced writes may have reached the disk.
   void PowerOff(std::size_t i) {
     Machine& machine = machines_[i];
     machine.replica.reset();
@@ -115,7 +115,7 @@
     machine.writes.clear();
     machine.writes_in_progress = 0;
   }
-  /// Stops the machine and gives it an empty disk with a new id.
+  /// Ends the process and gives the machine an empty disk with a new id.
   void LoseDisk(std::size_t i) {
     Machine& machine = machines_[i];
     machine.replica.reset();
@@ -125,18 +125,18 @@
     machine.disk_id = NewDiskId();
     if (disks_ == Disks::kDatabase) NewDatabase(machine);
   }
-  /// The process announces its shutdown, as one does that was told to end. It runs until PowerOff.
+  /// The process announces its shutdown and resigns, as after a termination signal. It runs until PowerOff.
   void BeginShutdown(std::size_t i) {
     machines_[i].draining = true;
     Resign(i);
   }
-  /// Machine `i` gives up leadership, if it leads.
+  /// Machine `i` gives up leadership if it is the leader.
   void Resign(std::size_t i) {
     if (!IsRunning(i) || machines_[i].frozen_until > now_) return;
     machines_[i].replica->Resign(now_);
     ApplyEffects(i);
   }
-  /// The process takes no step for `duration`; messages to it wait.
+  /// Pauses the process for `duration`. Messages to it are delivered afterwards.
   void Freeze(std::size_t i, Micros duration) { machines_[i].frozen_until = now_ + duration; }
   /// No write completes for `duration`.
   void StallDisk(std::size_t i, Micros duration) { machines_[i].disk_stalled_until = now_ + duration; }
@@ -149,18 +149,18 @@
   double drop_probability = 0;
   double duplicate_probability = 0;
   Micros max_delay = 3'000;
-  Micros time_step = kTimeStep;           // messages and writes take effect at the end of one
-  Micros tick_interval = kTimeStep;       // the same phase on all machines
+  Micros time_step = kTimeStep;           // messages and writes take effect at the end of a step
+  Micros tick_interval = kTimeStep;       // in phase on all machines
   std::size_t compaction_threshold = 24;  // entries since the snapshot
-  Micros catch_up_time = 4'000'000;       // after its start a machine still counts as lost for this long
-  /// Called for each message sent; may change it, or drop it by returning false.
+  Micros catch_up_time = 4'000'000;       // a machine still counts as failed for this long after its start
+  /// Called for each message sent. May modify the message, or drop it by returning false.
   std::function<bool(Message&)> mutate;
-  /// Called with what a machine's disk has written with one sync.
+  /// Called with the writes of each sync of a machine's disk.
   std::function<void(std::size_t machine, const std::vector<ShardWrite>&)> on_commit;
 
-  // ---- Work ----
+  // ---- Operation ----
 
-  /// The running machine that leads with a lease and is ready, the one of the highest term.
+  /// The running machine that is a ready leader with a lease; that of the highest term if there are several.
   std::optional<std::size_t> Leader() const {
     std::optional<std::size_t> found;
     for (std::size_t i = 0; i < machines_.size(); ++i) {
@@ -172,7 +172,8 @@
     }
     return found;
   }
-  /// Proposes to machine `i`; false if it does not lead. Acknowledged once any machine applies it.
+  /// Proposes to machine `i`. Returns false if it is not the leader. The command counts as acknowledged once
+  /// any machine has applied it.
   bool Propose(std::size_t i, const std::string& command) {
     Machine& machine = machines_[i];
     if (machine.replica == nullptr || !IsAppended(machine.replica->Propose(command))) return false;
@@ -180,7 +181,7 @@
     return true;
   }
 
-  /// Advances the virtual clock by `duration` in steps of kTimeStep.
+  /// Advances the virtual clock by `duration` in steps of `time_step`.
   void Run(Micros duration) {
     const Micros until = now_ + duration;
     while (now_ < until) {
@@ -205,19 +206,19 @@
     return std::includes(applied.begin(), applied.end(), acknowledged_.begin(), acknowledged_.end());
   }
 
-  /// Whether there is a leader whose group has all its voters, none of them a lost disk.
+  /// Whether there is a leader whose group has its full number of voters, none of which lost its disk.
   bool HasFullMembership() const {
     const auto leader = Leader();
     if (!leader) return false;
     const Members& members = machines_[*leader].replica->members();
     return members.size() == bootstrap_members_.size() &&
-           std::all_of(members.begin(), members.end(), [&](const Member& one) {
+           std::all_of(members.begin(), members.end(), [&](const Member& member) {
              return std::any_of(machines_.begin(), machines_.end(),
-                                [&](const Machine& machine) { return machine.disk_id == one.id; });
+                                [&](const Machine& machine) { return machine.disk_id == member.id; });
            });
   }
 
-  /// One line a machine, for messages of failed tests and the digest.
+  /// One line per machine, for failure messages of tests and for digests.
   std::string Describe() const {
     std::string out;
     for (const Machine& machine : machines_) {
@@ -248,7 +249,7 @@
     machine.database_is_open = true;
   }
 
-  // False where its disk fails to read.
+  // Returns false if the disk fails to read.
   bool ReadDatabase(Machine& machine) {
     if (!std::exchange(machine.database_is_open, false)) {
       const auto stored = machine.database->Reopen();
@@ -287,7 +288,7 @@
     }
   }
 
-  // Group commit, as in the store: what is queued is written with one sync once the disk is idle.
+  // Group commit, as in the store: all queued writes are written with one sync once the disk is idle.
   void StartWrites(Machine& machine) {
     if (machine.writes_in_progress > 0 || machine.writes.empty()) return;
     machine.writes_in_progress = machine.writes.size();
@@ -300,15 +301,15 @@
     if (machine.writes_in_progress == 0 || machine.write_done_at > now_ || machine.disk_stalled_until > now_)
       return;
     const auto last = machine.writes.begin() + static_cast<std::ptrdiff_t>(machine.writes_in_progress);
-    const std::vector<Effects> done(std::make_move_iterator(machine.writes.begin()),
-                                    std::make_move_iterator(last));
+    const std::vector<Effects> completed(std::make_move_iterator(machine.writes.begin()),
+                                         std::make_move_iterator(last));
     machine.writes.erase(machine.writes.begin(), last);
     machine.writes_in_progress = 0;
     std::vector<ShardWrite> writes;
-    for (const Effects& write : done) writes.push_back(WriteOf(write));
+    for (const Effects& write : completed) writes.push_back(WriteOf(write));
     if (on_commit) on_commit(i, writes);
     if (machine.database != nullptr) machine.database->Commit(writes);
-    for (const Effects& write : done) {
+    for (const Effects& write : completed) {
       ApplyToDisk(machine, write);
       for (const Message& message : write.messages_after_write) Send(i, message);
       if (!write.entries.empty())
@@ -321,8 +322,8 @@
 
   void ApplyEntry(Machine& machine, Index index, const Entry& entry) {
     const std::string text = std::to_string(entry.term) + "/" + entry.command;
-    const auto [it, fresh] = committed_.emplace(index, text);
-    if (!fresh && it->second != text)
+    const auto [it, inserted] = committed_.emplace(index, text);
+    if (!inserted && it->second != text)
       violations_.push_back("two entries at " + std::to_string(index) + ": " + it->second + " and " + text);
     if (entry.kind != EntryKind::kCommand) return;
     machine.applied.push_back(entry.command);
@@ -364,7 +365,8 @@
     }
   }
 
-  // As the control processes do: machines without a vote ask the leader to be added as learners.
+  // As the control processes do: machines that need to join ask the leader to add them as learners, and the
+  // leader applies the membership policy.
   void ReviewMembers() {
     for (std::size_t i = 0; i < machines_.size(); ++i) {
       if (!IsRunning(i) || !machines_[i].replica->leader() || machines_[i].frozen_until > now_) continue;
@@ -383,8 +385,8 @@
   void CheckLeaders() {
     for (const Machine& machine : machines_) {
       if (machine.replica == nullptr || !machine.replica->leader()) continue;
-      const auto [it, fresh] = leader_of_term_.emplace(machine.replica->term(), machine.disk_id);
-      if (!fresh && it->second != machine.disk_id)
+      const auto [it, inserted] = leader_of_term_.emplace(machine.replica->term(), machine.disk_id);
+      if (!inserted && it->second != machine.disk_id)
         violations_.push_back("two leaders in term " + std::to_string(machine.replica->term()));
     }
     int leases = 0;
--- a/tests/testing/exploration.hpp
+++ b/tests/testing/exploration.hpp
@@ -1,12 +1,12 @@
-// Exhaustive exploration of the states that the replicas of one group can reach by events in every order:
-// messages that are delayed, reordered or lost, elections at any time, writes that complete at any time,
-// restarts, a lost disk, a learner that replaces it. The replicas are the shipped code.
+// Exhaustive exploration of the states that the replicas of one group can reach through all event orders:
+// delayed, reordered or lost messages, elections at any time, writes that complete at any time, restarts, a
+// lost disk, and a learner that replaces it. The replicas run the production code.
 //
-// Time stands still and all durations are 0, so that any timer may fire at any moment and no lease ever
-// delays a vote: the orders that real times allow are among those explored. Where no process can stop any
-// more, writes complete at once, as the messages that wait for them may be delayed as well. Not explored:
-// heartbeats (appends carry the commit index too), snapshots, and of two messages of one kind on one link the
-// earlier one once the later is sent.
+// The clock does not advance and all durations are 0, so any timer can fire at any time and no lease delays a
+// vote. The event orders possible with real durations are therefore a subset of those explored. When no
+// process can stop any more, writes complete immediately, since delaying the messages that wait for them has
+// the same effect. Not explored are heartbeats (appends also carry the commit index), snapshots, and the
+// delivery of a message after a later one of the same kind was sent on the same link.
 #ifndef VIOLETWING_TESTS_TESTING_EXPLORATION_HPP_
 #define VIOLETWING_TESTS_TESTING_EXPLORATION_HPP_
 
@@ -30,18 +30,18 @@
 
 namespace violetwing::consensus {
 
-/// How often each event may occur that would otherwise make the state space infinite.
+/// Limits on the events that would otherwise make the state space infinite, and on the number of states.
 struct Bounds {
   int proposals = 0;
   int elections = 0;
   int restarts = 0;
   int lost_disks = 0;
-  int leader_ticks = 0;  // they send again what was lost
+  int leader_ticks = 0;  // these resend lost messages
   int resignations = 0;
-  std::size_t states = 0;
+  std::size_t max_states = 0;
 };
 
-/// A depth-first search of the state space. Safety properties are checked in each state.
+/// A depth-first search of the state space that checks the safety properties in each state.
 class Exploration {
  public:
   static constexpr std::size_t kMachines = 3;
@@ -57,7 +57,7 @@
       bootstrap_members_.push_back({BootstrapId(i), "m" + std::to_string(i)});
   }
 
-  /// Visits all states within the bounds; false if there were more than `bounds.states`.
+  /// Visits all states within the bounds. Returns false if there are more than `bounds.max_states`.
   bool Run() {
     State first;
     first.remaining = bounds_;
@@ -67,7 +67,7 @@
     }
     Visit(std::move(first));
     while (!frontier_.empty()) {
-      if (visited_.size() > bounds_.states) return false;
+      if (visited_.size() > bounds_.max_states) return false;
       const State state = std::move(frontier_.back());
       frontier_.pop_back();
       Expand(state);
@@ -77,13 +77,13 @@
 
   /// Number of distinct states visited.
   std::size_t states() const { return visited_.size(); }
-  /// The most entries committed in one state.
+  /// The maximum number of entries committed in one state.
   std::size_t max_committed() const { return max_committed_; }
-  /// The most leaders, of successive terms, on the way to one state.
+  /// The maximum number of leaders, in successive terms, on the path to one state.
   int max_leaders() const { return max_leaders_; }
   const std::vector<std::string>& violations() const { return violations_; }
-  /// May change each delivered message, to see whether the checks notice.
-  std::function<void(Message&)> tamper;
+  /// Called for each delivered message. May modify it, to verify that the checks detect faults.
+  std::function<void(Message&)> mutate;
 
  private:
   struct Machine {
@@ -104,12 +104,12 @@
     Bounds remaining;
     std::map<Index, std::pair<Term, std::string>> committed;
     std::map<Term, ReplicaId> leaders;
-    ReplicaId lost_replica;  // whose disk was lost; empty if none
+    ReplicaId lost_replica;  // the replica whose disk was lost; empty if none
   };
 
   static ReplicaId BootstrapId(std::size_t i) { return "f" + std::to_string(i); }
 
-  // ---- Events: each visits the states that follow ----
+  // ---- Events: each visits the resulting states ----
 
   void Expand(const State& state) {
     for (const auto& [link, sent] : state.network) DeliverMessage(state, link, sent.message);
@@ -148,15 +148,15 @@
     if (state.machines[i].replica->IsMember(state.lost_replica))
       Transition(state, i, [&](State&, Replica& replica) {
         Members shrunk = members;
-        std::erase_if(shrunk, [&](const Member& one) { return one.id == state.lost_replica; });
+        std::erase_if(shrunk, [&](const Member& member) { return member.id == state.lost_replica; });
         replica.ProposeMembers(shrunk);
       });
     for (const Machine& machine : state.machines) {
       const Member learner{machine.disk_id, "m"};
       if (state.machines[i].replica->IsMember(learner.id)) continue;
       Transition(state, i, [&](State&, Replica& replica) { replica.AddLearner(learner, kNow); });
-      for (const FollowerStatus& one : state.machines[i].replica->FollowerStatuses())
-        if (one.member.id == learner.id && one.caught_up && members.size() < kMachines)
+      for (const FollowerStatus& status : state.machines[i].replica->FollowerStatuses())
+        if (status.member.id == learner.id && status.caught_up && members.size() < kMachines)
           Transition(state, i, [&](State&, Replica& replica) {
             Members grown = members;
             grown.push_back(learner);
@@ -171,7 +171,7 @@
       Transition(state, i, [&](State& next, Replica& replica) {
         next.network.erase(link);
         Message delivered = message;
-        if (tamper) tamper(delivered);
+        if (mutate) mutate(delivered);
         replica.Step(delivered, kNow);
       });
     }
@@ -192,7 +192,7 @@
       replica.OnLogDurable(write.first_index + write.entries.size() - 1, write.entries.back().term);
   }
 
-  // Unsynced writes are lost; that some of them were durable is another order of events.
+  // Unsynced writes are lost. The cases in which some of them are durable are covered by other event orders.
   void Restart(const State& state, std::size_t i) {
     State next = state;
     --next.remaining.restarts;
@@ -219,11 +219,11 @@
     machine.hash = HashOf(machine);
   }
 
-  template <class Act>
-  void Transition(const State& state, std::size_t i, Act act) {
+  template <class Event>
+  void Transition(const State& state, std::size_t i, Event apply_event) {
     State next = state;
     auto replica = std::make_shared<Replica>(*state.machines[i].replica);
-    act(next, *replica);
+    apply_event(next, *replica);
     ApplyEffects(next, i, *replica);
     const bool no_process_stops = next.remaining.restarts == 0 && next.remaining.lost_disks == 0;
     while (no_process_stops && !next.machines[i].writes.empty()) {
@@ -266,8 +266,8 @@
 
   void RecordCommit(State& state, Index index, const Entry& entry) {
     const std::pair<Term, std::string> committed{entry.term, Encode(entry)};
-    const auto [it, fresh] = state.committed.emplace(index, committed);
-    if (!fresh && it->second != committed)
+    const auto [it, inserted] = state.committed.emplace(index, committed);
+    if (!inserted && it->second != committed)
       violations_.push_back("two entries at " + std::to_string(index) + ": " + it->second.second + " and " +
                             committed.second);
     max_committed_ = std::max(max_committed_, state.committed.size());
@@ -277,8 +277,8 @@
   void CheckLeader(State& state, std::size_t i) {
     const Replica& replica = *state.machines[i].replica;
     if (!replica.leader()) return;
-    const auto [it, fresh] = state.leaders.emplace(replica.term(), replica.id());
-    if (!fresh && it->second != replica.id())
+    const auto [it, inserted] = state.leaders.emplace(replica.term(), replica.id());
+    if (!inserted && it->second != replica.id())
       violations_.push_back("two leaders in term " + std::to_string(replica.term()));
     max_leaders_ = std::max(max_leaders_, static_cast<int>(state.leaders.size()));
     for (const auto& [index, entry] : state.committed)
@@ -302,18 +302,18 @@
   }
 
   static std::uint64_t HashOf(const State& state) {
-    std::vector<std::uint64_t> all;
-    for (const Machine& machine : state.machines) all.push_back(machine.hash);
-    for (const auto& [link, sent] : state.network) all.push_back(sent.hash);
+    std::vector<std::uint64_t> values;
+    for (const Machine& machine : state.machines) values.push_back(machine.hash);
+    for (const auto& [link, sent] : state.network) values.push_back(sent.hash);
     const Bounds& remaining = state.remaining;
-    for (const int one : {remaining.proposals, remaining.elections, remaining.restarts, remaining.lost_disks,
-                          remaining.leader_ticks, remaining.resignations})
-      all.push_back(static_cast<std::uint64_t>(one));
+    for (const int count : {remaining.proposals, remaining.elections, remaining.restarts,
+                            remaining.lost_disks, remaining.leader_ticks, remaining.resignations})
+      values.push_back(static_cast<std::uint64_t>(count));
     for (const auto& [index, entry] : state.committed) {
-      all.push_back(index);
-      all.push_back(entry.first);
+      values.push_back(index);
+      values.push_back(entry.first);
     }
-    return XXH3_64bits(all.data(), all.size() * sizeof all[0]);
+    return XXH3_64bits(values.data(), values.size() * sizeof values[0]);
   }
 
   void Visit(State state) {
--- a/tests/testing/virtual_disk.hpp
+++ b/tests/testing/virtual_disk.hpp
@@ -1,4 +1,4 @@
-// What a write of a replica leaves on a disk of the deterministic harnesses.
+// The in-memory disk model of the deterministic test harnesses.
 #ifndef VIOLETWING_TESTS_TESTING_VIRTUAL_DISK_HPP_
 #define VIOLETWING_TESTS_TESTING_VIRTUAL_DISK_HPP_
 
@@ -8,6 +8,7 @@
 
 namespace violetwing::testing {
 
+/// Applies a completed write of a replica to its disk.
 inline void ApplyWrite(consensus::StoredState& disk, const ShardWrite& write) {
   if (write.hard_state) disk.hard_state = *write.hard_state;
   if (write.replaces_log) disk.entries.clear();
@@ -19,9 +20,10 @@
   }
   if (!write.snapshot) return;
   if (!write.replaces_log) {
-    const auto gone =
+    const auto covered_entries =
         std::min<consensus::Index>(write.snapshot->index - disk.snapshot.index, disk.entries.size());
-    disk.entries.erase(disk.entries.begin(), disk.entries.begin() + static_cast<std::ptrdiff_t>(gone));
+    disk.entries.erase(disk.entries.begin(),
+                       disk.entries.begin() + static_cast<std::ptrdiff_t>(covered_entries));
   }
   disk.snapshot = *write.snapshot;
 }
