--- a/src/dataplane/edge_service.cpp
+++ b/src/dataplane/edge_service.cpp
@@ -88,7 +88,7 @@
 }
 
 void EdgeService::Tick() {
-  plane_.load_balancer.RemoveMissing(*plane_.directory, SteadyMicros());
+  plane_.load_balancer.RemoveUnlistedServers(*plane_.directory, SteadyMicros());
   plane_.pool.CloseIdleExcept([this](const std::string& id) {
     const Instance* instance = plane_.directory->Find(id);
     return instance != nullptr && instance->phase != Phase::kDeregistered;
--- a/src/dataplane/load_balancing/load_balancer.cpp
+++ b/src/dataplane/load_balancing/load_balancer.cpp
@@ -181,7 +181,7 @@
   servers_[id].OnEnd(result, attributes.WeightsKey(), first_byte_received, now);
 }
 
-void LoadBalancer::RemoveMissing(const Directory& directory, Micros now) {
+void LoadBalancer::RemoveUnlistedServers(const Directory& directory, Micros now) {
   prefill_queue_.RemoveExpired(now);
   std::erase_if(servers_, [&](const auto& entry) {
     return entry.second.in_flight() == 0 && directory.Find(entry.first) == nullptr;
--- a/src/dataplane/load_balancing/load_balancer.hpp
+++ b/src/dataplane/load_balancing/load_balancer.hpp
@@ -64,7 +64,7 @@
   void OnEnd(const std::string& id, AttemptResult result, const RequestAttributes& attributes,
              bool first_byte_received, Micros now);
   /// Removes the state of servers that the directory no longer lists and that have nothing in flight.
-  void RemoveMissing(const Directory& directory, Micros now);
+  void RemoveUnlistedServers(const Directory& directory, Micros now);
 
   /// Called after each prompt that the next report will include; null turns reports off.
   void SetOnReportPending(std::function<void(ReportUrgency)> on_report_pending);
