--- a/src/dataplane/load_balancing/affinity.cpp
+++ b/src/dataplane/load_balancing/affinity.cpp
@@ -10,10 +10,10 @@
 namespace violetwing {
 namespace {
 
-// More than one, so that a busy or ejected server has an alternative with a warm cache.
+// More than one, so that there is an alternative with a warm cache if one server is busy or ejected.
 constexpr std::size_t kAffinityServers = 2;
 
-// Equal for all prompts with the same weights and the same shared parts.
+// Hash of the weights and of all prompt parts but the last, which are those that prompts share.
 std::uint64_t SharedPrefixHash(const RequestAttributes& attributes) {
   std::string key = attributes.WeightsKey();
   for (std::size_t i = 0; i + 1 < attributes.prompt_parts->size(); ++i)
--- a/src/dataplane/load_balancing/load_balancer.cpp
+++ b/src/dataplane/load_balancing/load_balancer.cpp
@@ -9,21 +9,22 @@
 namespace violetwing {
 namespace {
 
-// Enough servers to choose from, and few enough that each keeps its connections and caches.
+// Large enough to offer a choice, small enough that connections and prefix caches are reused.
 constexpr std::size_t kMaxWindow = 8;
 constexpr int kRandomChoices = 2;
-// Draws until two usable servers are found, as some of the window may be ejected.
-constexpr int kMaxDraws = 8;
-// The share of a server's memory that this sidecar's estimate of its prefix cache may fill.
+// Limit of the random picks made to find two usable servers, as servers of the window may be ejected.
+constexpr int kMaxRandomPicks = 8;
+// Capacity of the modeled prefix cache of one server: the part of the server's memory that this sidecar
+// assumes to hold the prompts it knows of.
 constexpr double kPrefixCacheTokens = 150'000;
-// Prompts with a longer prefill are reported to other sidecars at once.
+// Prompts with at least this prefill time are reported to other sidecars immediately.
 constexpr double kImmediateReportMs = 30;
-// Bounds a report to a datagram; prompts beyond are not reported.
+// Keeps a report within one datagram; further prompts are not reported.
 constexpr std::size_t kMaxReportedPrompts = 16;
-// No prefill takes longer; a report that says so is ignored.
+// No prefill takes longer; reported prompts with a longer one are ignored.
 constexpr double kMaxReportedPrefillMs = 60'000;
 
-// The candidates, rotated so that this sidecar's window comes first.
+// Returns the candidates, rotated so that this sidecar's window comes first.
 std::vector<const Instance*> RotateToWindow(const std::vector<const Instance*>& candidates,
                                             const Directory& directory) {
   const std::size_t offset = WindowOffset(directory.number(), directory.sidecars(), candidates.size());
@@ -34,12 +35,13 @@
 
 }  // namespace
 
-std::size_t WindowOffset(int number, int sidecars, std::size_t ring) {
-  if (ring == 0 || sidecars <= 0) return 0;
-  return static_cast<std::size_t>(number) * ring / static_cast<std::size_t>(sidecars) % ring;
+std::size_t WindowOffset(int sidecar_number, int sidecar_count, std::size_t ring_size) {
+  if (ring_size == 0 || sidecar_count <= 0) return 0;
+  return static_cast<std::size_t>(sidecar_number) * ring_size / static_cast<std::size_t>(sidecar_count) %
+         ring_size;
 }
 
-// The cheapest of the servers considered so far for one request; of equally cheap ones the first.
+// Tracks the server with the lowest cost for one request; among equal costs, the first one considered.
 class LoadBalancer::CheapestServer {
  public:
   CheapestServer(LoadBalancer& load_balancer, const std::vector<const Instance*>& candidates,
@@ -93,7 +95,7 @@
   CheapestServer cheapest(*this, candidates, attributes, now);
   if (attributes.HasPromptParts()) ConsiderWindowAndAffinity(cheapest, ring, window);
   if (cheapest.server() == nullptr) ConsiderTwoRandom(cheapest, ring, window);
-  // A server outside the window rather than none, and an ejected one rather than none.
+  // Falls back to servers outside the window, then to ejected ones.
   if (cheapest.server() == nullptr) ConsiderAll(cheapest, ring);
   if (cheapest.server() == nullptr) ConsiderEjected(cheapest, ring);
   return cheapest.server();
@@ -108,7 +110,7 @@
 void LoadBalancer::ConsiderTwoRandom(CheapestServer& cheapest, const std::vector<const Instance*>& ring,
                                      std::size_t window) {
   int found = 0;
-  for (int draw = 0; draw < kMaxDraws && found < kRandomChoices; ++draw) {
+  for (int pick = 0; pick < kMaxRandomPicks && found < kRandomChoices; ++pick) {
     const Instance* instance = ring[random_.Below(window)];
     if (instance == cheapest.server() || !cheapest.MayAttempt(instance)) continue;
     ++found;
@@ -146,7 +148,7 @@
   return PrefillCostMs(server, attributes, factors, now);
 }
 
-// ---- Events of attempts ----
+// ---- Attempt events ----
 
 void LoadBalancer::OnSent(const std::string& id, RequestAttributes& attributes, Micros now) {
   UpstreamServerState& server = servers_[id];
@@ -220,7 +222,7 @@
 void LoadBalancer::OnPeerReport(const LoadReport& report, Micros now) {
   for (const SentPrompt& prompt : report.prompts) {
     const bool plausible = prompt.read_ms >= 0 && prompt.read_ms <= kMaxReportedPrefillMs;
-    if (!plausible) continue;  // NaN as well
+    if (!plausible) continue;  // also skips NaN
     prefill_queue_.Enqueue(prompt.server, prompt.read_ms * sidecars_per_report_, now);
     servers_[prompt.server].prefix_cache().Insert(prompt.weights, ParsePromptParts(prompt.parts),
                                                   kPrefixCacheTokens);
--- a/src/dataplane/load_balancing/load_balancer.hpp
+++ b/src/dataplane/load_balancing/load_balancer.hpp
@@ -1,9 +1,9 @@
-// Picks the server for each request. The candidates form a ring in the order of their ids; a sidecar uses a
-// run of consecutive ones, its window, which begins at an offset given by its number. For a request that
-// gives its prompt parts, the server with the least expected time until the prompt is prefilled is picked
-// (server_cost.hpp), from the window and the servers with affinity (affinity.hpp). For all others, the
-// cheaper one of two random servers of the window (power of two choices; Mitzenmacher, IEEE TPDS 2001). A
-// core: it holds no clock, socket, file or thread.
+// Picks the server for each request. The candidates form a ring in the order of their ids. Each sidecar uses
+// a range of consecutive servers, its window, whose offset depends on the sidecar's number. A request that
+// gives its prompt parts is sent to the server with the shortest expected time until the prompt is prefilled
+// (server_cost.hpp), among those of the window and those with affinity (affinity.hpp). Any other request is
+// sent to the cheaper of two random servers of the window (power of two choices; Mitzenmacher, IEEE TPDS
+// 2001). Pure logic: it uses no clock, socket, file or thread.
 #ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_LOAD_BALANCER_HPP_
 #define VIOLETWING_DATAPLANE_LOAD_BALANCING_LOAD_BALANCER_HPP_
 
@@ -29,53 +29,56 @@
 /// How soon other sidecars should get the next load report.
 enum class ReportUrgency {
   kDeferred,
-  kImmediate,  ///< a long prompt was sent, and others may be about to send to the same server
+  kImmediate,  ///< a long prompt was sent, and other sidecars may be about to pick the same server
 };
 
-/// What a server's first byte of a response says.
+/// What the first byte of a response tells about the request.
 enum class FirstByteKind {
-  kExecuting,  ///< the server executes the request, so that its prompt has been prefilled
+  kExecuting,  ///< the server is executing the request, so its prompt has been prefilled
   kOther,      ///< a rejection or an error
 };
 
-/// Load balancer of one sidecar. Not thread-safe. All times are of the steady clock.
+/// Load balancer of one sidecar. Not thread-safe. All times are steady clock times.
 class LoadBalancer {
  public:
-  /// `seed`: of the random choices.
+  /// `seed` initializes the random number generator.
   explicit LoadBalancer(std::uint64_t seed) : random_(seed) {}
 
-  /// Zone of this sidecar (empty: zones do not matter), and whether an idle connection to an instance is
-  /// open.
+  /// Sets the zone of this sidecar (empty: zones are ignored), and a function that returns whether an idle
+  /// connection to an instance is open.
   void SetLocality(std::string zone, std::function<bool(const std::string& id)> has_connection);
 
-  /// The best server of `candidates`, which must be sorted by id; null if none may be attempted now. Ejected
-  /// servers are used only if there is no other.
+  /// Picks a server from `candidates`, which must be sorted by id; null if none may be attempted now. An
+  /// ejected server is picked only if there is no other.
   const Instance* PickServer(const std::vector<const Instance*>& candidates, const Directory& directory,
                              const RequestAttributes& attributes, Micros now);
 
-  /// An attempt was sent to an instance: sets the prefill estimates of `attributes`.
+  /// Records that an attempt was sent to an instance. Sets `sent_at` and the prefill estimates of
+  /// `attributes`.
   void OnSent(const std::string& id, RequestAttributes& attributes, Micros now);
-  /// An instance reported its load.
+  /// Records the load that an instance reported.
   void OnLoadReported(const std::string& id, const ServerLoad& load, Micros now);
-  /// The first byte of an attempt's response arrived; at most once an attempt.
+  /// Records the first byte of an attempt's response. Call at most once per attempt.
   void OnFirstByte(const std::string& id, const RequestAttributes& attributes, FirstByteKind kind,
                    Micros now);
-  /// An attempt ended; once for each OnSent. `first_byte_received`: OnFirstByte was called for it.
+  /// Records the end of an attempt. Call once for each OnSent. `first_byte_received`: whether OnFirstByte was
+  /// called for the attempt.
   void OnEnd(const std::string& id, AttemptResult result, const RequestAttributes& attributes,
              bool first_byte_received, Micros now);
-  /// Removes the state of servers that the directory no longer lists and that have nothing in flight.
+  /// Removes the state of servers that the directory does not list and that have no requests in flight.
   void RemoveUnlistedServers(const Directory& directory, Micros now);
 
-  /// Called after each prompt that the next report will include; null turns reports off.
+  /// Sets a callback for each prompt that is added to the next report; null turns reports off.
   void SetOnReportPending(std::function<void(ReportUrgency)> on_report_pending);
-  /// The prompts sent since the last report; its sender is left empty.
+  /// Returns and clears the report on the prompts sent since the last one. Its `node` is left empty.
   LoadReport TakeReport();
-  /// Only some of the other sidecars report to this one: each report stands for the prompts of so many.
+  /// Sets how many sidecars each received report represents, as only some of the other sidecars report to
+  /// this one.
   void SetSidecarsPerReport(double sidecars) { sidecars_per_report_ = sidecars; }
-  /// Another sidecar's report. Prompts with an implausible prefill time are ignored.
+  /// Applies another sidecar's report. Prompts with an implausible prefill time are ignored.
   void OnPeerReport(const LoadReport& report, Micros now);
 
-  /// Requests of this sidecar in flight at an instance.
+  /// Number of this sidecar's requests in flight at an instance.
   int InFlight(const std::string& id) const;
 
  private:
@@ -102,9 +105,9 @@
   std::function<void(ReportUrgency)> on_report_pending_;
 };
 
-/// Where a sidecar's window begins in a ring of `ring` servers: the sidecars' numbers, from 0, are spread
-/// evenly over it.
-std::size_t WindowOffset(int number, int sidecars, std::size_t ring);
+/// Offset of a sidecar's window in a ring of `ring_size` servers. The windows of the sidecars, which are
+/// numbered from 0, are spread evenly over the ring.
+std::size_t WindowOffset(int sidecar_number, int sidecar_count, std::size_t ring_size);
 
 }  // namespace violetwing
 
--- a/src/dataplane/load_balancing/load_report_exchange.cpp
+++ b/src/dataplane/load_balancing/load_report_exchange.cpp
@@ -14,7 +14,7 @@
 using boost::asio::ip::udp;
 using std::chrono::milliseconds;
 
-// Even an immediate report waits a little, to include the prompts sent right after the first.
+// Even an immediate report is delayed briefly, to include the prompts sent right after the first one.
 constexpr milliseconds kImmediateDelay{2};
 constexpr milliseconds kDeferredDelay{400};
 
@@ -82,8 +82,8 @@
   socket_.async_receive_from(boost::asio::buffer(buffer_), sender_,
                              [this](const boost::system::error_code& error, std::size_t bytes) {
                                if (!socket_.is_open()) return;
-                               if (!error)
-                                 OnDatagram(bytes);  // errors are ICMP replies of neighbors that are down
+                               // Errors are ICMP replies from neighbors that are down.
+                               if (!error) OnDatagram(bytes);
                                Receive();
                              });
 }
@@ -91,7 +91,7 @@
 void LoadReportExchange::OnDatagram(std::size_t bytes) {
   const std::string_view text(buffer_.data(), bytes);
   if (const auto report = DecodeLoadReport(text)) return load_balancer_.OnPeerReport(*report, SteadyMicros());
-  spdlog::debug("load report malformed bytes={}", bytes);
+  spdlog::debug("ignoring malformed load report bytes={}", bytes);
 }
 
 }  // namespace violetwing
--- a/src/dataplane/load_balancing/load_report_exchange.hpp
+++ b/src/dataplane/load_balancing/load_report_exchange.hpp
@@ -1,7 +1,7 @@
-// Exchanges load reports between sidecars: each reports the prompts that it sends to model servers, as it
-// would otherwise see only its own requests, and several sidecars would send long prompts to the same idle
-// server at once. One UDP datagram a report, not acknowledged and not repeated. Sockets and timers only; what
-// a report says and what it means is decided by LoadBalancer.
+// Exchanges load reports between sidecars: each reports the prompts that it sends to model servers. Without
+// reports a sidecar sees only its own requests, and several sidecars would send long prompts to the same idle
+// server at the same time. A report is one UDP datagram, neither acknowledged nor retransmitted. This file
+// handles only sockets and timers; LoadBalancer creates and interprets the reports.
 #ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_LOAD_REPORT_EXCHANGE_HPP_
 #define VIOLETWING_DATAPLANE_LOAD_BALANCING_LOAD_REPORT_EXCHANGE_HPP_
 
@@ -17,22 +17,24 @@
 
 namespace violetwing {
 
-/// Sends and receives load reports. Lives on the thread of `io`; must outlive no handler, so Stop it first.
+/// Sends and receives load reports, on the thread of `io`. Its handlers refer to it: call Stop first, and
+/// destroy it only when no handler can run any more.
 class LoadReportExchange {
  public:
   /// `node` names this sidecar in its reports. `load_balancer` must outlive the exchange.
   LoadReportExchange(boost::asio::io_context& io, std::string node, LoadBalancer& load_balancer);
 
-  /// Receives reports at `address` ("host:port"), and begins to send. Errors: an invalid address, or those of
-  /// binding the socket; then nothing is sent either, and requests go on without reports.
+  /// Starts to receive reports at `address` ("host:port"), and to send them. Returns an error if the address
+  /// is invalid or the socket cannot be bound; then no reports are sent either, and requests are served
+  /// without them.
   std::error_code Start(const std::string& address);
-  /// Ends both directions; a report that is pending is dropped.
+  /// Stops sending and receiving; a pending report is dropped.
   void Stop();
-  /// Whom to send to, as "host:port"; addresses that cannot be parsed are ignored.
+  /// Sets the addresses that reports are sent to, as "host:port"; invalid ones are ignored.
   void SetNeighbors(const std::vector<std::string>& addresses);
 
  private:
-  // The largest report that is sent or received.
+  // Maximum size of a report that is sent or received.
   static constexpr std::size_t kMaxReportBytes = 8192;
 
   void ScheduleSend(ReportUrgency urgency);
--- a/src/dataplane/load_balancing/outlier_detection.cpp
+++ b/src/dataplane/load_balancing/outlier_detection.cpp
@@ -5,11 +5,11 @@
 namespace violetwing {
 namespace {
 
-constexpr int kUnreachableToEject = 1;
-constexpr int kFailuresToEject = 3;
+constexpr int kUnreachableThreshold = 1;
+constexpr int kFailureThreshold = 3;
 constexpr Micros kBaseEjection = 500'000;
 constexpr Micros kMaxEjection = 8'000'000;
-constexpr int kMaxDoublings = 5;  // beyond the cap; keeps the shift small
+constexpr int kMaxDoublings = 5;  // enough to exceed kMaxEjection; prevents overflow of the shift
 
 }  // namespace
 
@@ -19,7 +19,7 @@
 }
 
 void OutlierDetector::OnFailure(FailureKind kind, Micros now) {
-  const int threshold = kind == FailureKind::kUnreachable ? kUnreachableToEject : kFailuresToEject;
+  const int threshold = kind == FailureKind::kUnreachable ? kUnreachableThreshold : kFailureThreshold;
   ++consecutive_failures_;
   const int doublings = consecutive_failures_ - threshold;
   if (doublings < 0) return;
--- a/src/dataplane/load_balancing/outlier_detection.hpp
+++ b/src/dataplane/load_balancing/outlier_detection.hpp
@@ -1,4 +1,4 @@
-// Passive outlier detection: a server whose attempts fail in a row is ejected for a while. A core: it holds
+// Passive outlier detection: a server with consecutive failures is ejected temporarily. Pure logic: it uses
 // no clock, socket, file or thread.
 #ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_OUTLIER_DETECTION_HPP_
 #define VIOLETWING_DATAPLANE_LOAD_BALANCING_OUTLIER_DETECTION_HPP_
@@ -7,18 +7,19 @@
 
 namespace violetwing {
 
-/// What a failed attempt says about its server.
+/// Kinds of failed attempts.
 enum class FailureKind {
-  kUnreachable,     ///< no connection: ejects at once
-  kAttemptFailure,  ///< reset, error or time-out: ejects after several in a row
+  kUnreachable,     ///< no connection could be established: ejects at the first failure
+  kAttemptFailure,  ///< reset, error or timeout: ejects after several consecutive failures
 };
 
-/// Consecutive failures of one server and its ejection, which doubles with each further failure up to a cap.
+/// Tracks the consecutive failures of one server and ejects it. The duration of the ejection doubles with
+/// each further failure, up to a cap.
 class OutlierDetector {
  public:
-  /// A complete response: ends the ejection and the run of failures.
+  /// Records a complete response: ends the ejection and resets the failure count.
   void OnSuccess();
-  /// Counts a failure, and ejects the server if there were enough.
+  /// Counts a failure, and ejects the server when the threshold for `kind` is reached.
   void OnFailure(FailureKind kind, Micros now);
   bool IsEjected(Micros now) const { return now < ejected_until_; }
 
--- a/src/dataplane/load_balancing/prefill_estimate.cpp
+++ b/src/dataplane/load_balancing/prefill_estimate.cpp
@@ -5,10 +5,10 @@
 
 constexpr double kDefaultMsPerToken = 0.034;
 constexpr double kMinSampleTokens = 2000;
-// What older samples weigh after each further one.
+// Factor by which each new sample reduces the weight of all older ones.
 constexpr double kSampleDecay = 0.9;
-// A prefill in less than this share of the expected time found part of the prompt cached.
-constexpr double kMinPlausibleShare = 0.15;
+// A prefill that takes a smaller fraction of the expected time means that part of the prompt was cached.
+constexpr double kMinPlausibleFraction = 0.15;
 
 }  // namespace
 
@@ -22,10 +22,10 @@
   if (attributes.uncached_prompt_tokens < kMinSampleTokens) return;
   if (waited_ms < 2 * attributes.queued_prefill_ms) return;
   const double prefill_ms = waited_ms - attributes.queued_prefill_ms;
-  if (prefill_ms < kMinPlausibleShare * attributes.uncached_prefill_ms) return;
-  Speed& speed = by_model_[attributes.model];
-  speed.ms = speed.ms * kSampleDecay + prefill_ms;
-  speed.tokens = speed.tokens * kSampleDecay + attributes.uncached_prompt_tokens;
+  if (prefill_ms < kMinPlausibleFraction * attributes.uncached_prefill_ms) return;
+  Sums& sums = by_model_[attributes.model];
+  sums.ms = sums.ms * kSampleDecay + prefill_ms;
+  sums.tokens = sums.tokens * kSampleDecay + attributes.uncached_prompt_tokens;
 }
 
 }  // namespace violetwing
--- a/src/dataplane/load_balancing/prefill_estimate.hpp
+++ b/src/dataplane/load_balancing/prefill_estimate.hpp
@@ -1,5 +1,5 @@
-// How fast each model prefills prompts, learned from the time until responses begin. A core: it holds no
-// clock, socket, file or thread.
+// Estimates the prefill speed of each model from the times to first byte. Pure logic: it uses no clock,
+// socket, file or thread.
 #ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFILL_ESTIMATE_HPP_
 #define VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFILL_ESTIMATE_HPP_
 
@@ -11,22 +11,23 @@
 
 namespace violetwing {
 
-/// Prefill speed by model, as an exponentially weighted mean over samples.
+/// Prefill speed by model, as an exponentially weighted mean of samples.
 class PrefillEstimate {
  public:
-  /// Time of prefilling one token, in ms; that of a slow model if nothing is known of this one.
+  /// Prefill time per token in ms; that of a slow model if there are no samples of this one.
   double MsPerToken(const std::string& model) const;
-  /// Learns from a response that began at `now`. Samples that say little are ignored: short prompts, those
-  /// that mostly waited for others, and those so fast that part of the prompt must have been cached.
+  /// Adds a sample from a response whose first byte arrived at `now`. Ignores unreliable samples: short
+  /// prompts, those that spent most of the time in the queue, and those so fast that part of the prompt must
+  /// have been cached.
   void OnFirstByte(const RequestAttributes& attributes, Micros now);
 
  private:
-  // Sums whose older samples decay.
-  struct Speed {
+  // Sums over samples, decayed exponentially.
+  struct Sums {
     double ms = 0;
     double tokens = 0;
   };
-  std::map<std::string, Speed> by_model_;
+  std::map<std::string, Sums> by_model_;
 };
 
 }  // namespace violetwing
--- a/src/dataplane/load_balancing/prefill_queue.cpp
+++ b/src/dataplane/load_balancing/prefill_queue.cpp
@@ -5,7 +5,7 @@
 namespace violetwing {
 namespace {
 
-// A prompt older than this was prefilled, or its server has a fault, which outlier detection sees.
+// An older prompt has been prefilled, or its server is faulty, which outlier detection handles.
 constexpr Micros kMaxPrefillAge = 10'000'000;
 
 Micros ToMicros(double ms) { return static_cast<Micros>(ms * 1000); }
--- a/src/dataplane/load_balancing/prefill_queue.hpp
+++ b/src/dataplane/load_balancing/prefill_queue.hpp
@@ -1,7 +1,7 @@
-// An estimate of each server's prefill queue: the prompts sent there, by this sidecar and, as reported, by
-// others, that it has not prefilled yet. A server prefills one prompt after the other, so that the queue
-// shrinks by a millisecond in each, and the first byte of a response shows that its prompt and all before it
-// are done. A core: it holds no clock, socket, file or thread.
+// Estimates the prefill queue of each server: the prompts that this sidecar or, by their load reports, other
+// sidecars have sent to it and that it has not prefilled yet. A server prefills one prompt at a time, so the
+// queue shrinks by one millisecond per millisecond, and the first byte of a response shows that its prompt
+// and all earlier ones have been prefilled. Pure logic: it uses no clock, socket, file or thread.
 #ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFILL_QUEUE_HPP_
 #define VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFILL_QUEUE_HPP_
 
@@ -13,16 +13,16 @@
 
 namespace violetwing {
 
-/// Prefill queues of all servers, by instance id. Times are of the steady clock and must not decrease.
+/// Prefill queues of all servers, by instance id. Times are steady clock times and must not decrease.
 class PrefillQueue {
  public:
   /// Adds a prompt whose prefill is expected to take `prefill_ms`.
-  void Enqueue(const std::string& server, double prefill_ms, Micros now);
-  /// The prompt sent at `sent_at` has been prefilled, and so have all sent before it.
-  void OnPrefillDone(const std::string& server, Micros sent_at, Micros now);
-  /// Time until the whole queue is prefilled, in ms; 0 for an unknown server.
-  double RemainingMs(const std::string& server, Micros now) const;
-  /// Removes prompts that must have been prefilled long ago, and servers without any.
+  void Enqueue(const std::string& server_id, double prefill_ms, Micros now);
+  /// Records that the prompt sent at `sent_at` and all those sent before it have been prefilled.
+  void OnPrefillDone(const std::string& server_id, Micros sent_at, Micros now);
+  /// Time until all prompts of the queue are prefilled, in ms; 0 for an unknown server.
+  double RemainingMs(const std::string& server_id, Micros now) const;
+  /// Removes prompts so old that they must have been prefilled, and servers with an empty queue.
   void RemoveExpired(Micros now);
 
  private:
@@ -31,8 +31,8 @@
     double prefill_ms = 0;
   };
   struct Server {
-    std::deque<QueuedPrompt> prompts;  // in the order of being sent
-    Micros done_at = 0;                // when all of them are expected to be prefilled
+    std::deque<QueuedPrompt> prompts;  // in send order
+    Micros done_at = 0;                // when the last of them is expected to be prefilled
   };
 
   std::map<std::string, Server> servers_;  // by instance id
--- a/src/dataplane/load_balancing/prefix_cache.cpp
+++ b/src/dataplane/load_balancing/prefix_cache.cpp
@@ -3,7 +3,7 @@
 namespace violetwing {
 namespace {
 
-// A key includes all parts before it: the same part after another prefix is a different entry.
+// The key of a part includes all parts before it, so the same part behind another prefix is another entry.
 std::string ExtendKey(const std::string& prefix_key, const PromptPart& part) {
   return prefix_key + "," + part.id;
 }
--- a/src/dataplane/load_balancing/prefix_cache.hpp
+++ b/src/dataplane/load_balancing/prefix_cache.hpp
@@ -1,6 +1,6 @@
-// An estimate of a server's prefix cache (KV cache of prompt prefixes): the prompt parts sent there lately,
-// in least-recently-used order. A part counts as cached only if all parts before it are cached as well.
-// A core: it holds no clock, socket, file or thread.
+// Estimates the contents of a server's prefix cache (KV cache of prompt prefixes) as the prompt parts
+// recently sent to it, evicted in least-recently-used order. A part counts as cached only if all parts before
+// it are cached as well. Pure logic: it uses no clock, socket, file or thread.
 #ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFIX_CACHE_HPP_
 #define VIOLETWING_DATAPLANE_LOAD_BALANCING_PREFIX_CACHE_HPP_
 
@@ -17,9 +17,10 @@
 /// (RequestAttributes::WeightsKey): caches of different weights are not shared.
 class PrefixCache {
  public:
-  /// Tokens at the start of the prompt that are expected to be cached.
+  /// Number of tokens at the start of the prompt that are expected to be cached.
   double CachedTokens(const std::string& weights_key, const std::vector<PromptPart>& parts) const;
-  /// Marks the parts as most recently used, then evicts until at most `capacity_tokens` remain.
+  /// Inserts the parts or marks them as most recently used, then evicts until at most `capacity_tokens`
+  /// remain.
   void Insert(const std::string& weights_key, const std::vector<PromptPart>& parts, double capacity_tokens);
   /// Empties the cache, as after a restart of the server.
   void Clear();
--- a/src/dataplane/load_balancing/prompt_parts.hpp
+++ b/src/dataplane/load_balancing/prompt_parts.hpp
@@ -1,4 +1,4 @@
-// The parts of a prompt that a client names in X-Violetwing-Prompt-Prefix, and their text form.
+// The parts of a prompt that a client lists in X-Violetwing-Prompt-Prefix, and their text form.
 #ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_PROMPT_PARTS_HPP_
 #define VIOLETWING_DATAPLANE_LOAD_BALANCING_PROMPT_PARTS_HPP_
 
@@ -11,10 +11,10 @@
 /// One part of a prompt: equal ids stand for equal text.
 struct PromptPart {
   std::string id;
-  double tokens = 0;  ///< length, a nonnegative whole number
+  double tokens = 0;  ///< length, a non-negative integer
 };
 
-/// Parses "5c1e07a2:800,91bd3f06:410", parts in prompt order. An entry that is malformed ends the list;
+/// Parses "5c1e07a2:800,91bd3f06:410" (id:tokens), parts in prompt order. Parsing stops at a malformed entry;
 /// the entries before it are returned.
 std::vector<PromptPart> ParsePromptParts(std::string_view text);
 
--- a/src/dataplane/load_balancing/upstream_server_state.cpp
+++ b/src/dataplane/load_balancing/upstream_server_state.cpp
@@ -6,6 +6,7 @@
 namespace violetwing {
 namespace {
 
+// How long a server counts as full after a rejection, and as lacking a model after kWrongServer.
 constexpr Micros kFullDuration = 150'000;
 constexpr Micros kModelMissingDuration = 1'500'000;
 constexpr Micros kUnresponsiveAfter = 700'000;
--- a/src/dataplane/load_balancing/upstream_server_state.hpp
+++ b/src/dataplane/load_balancing/upstream_server_state.hpp
@@ -1,5 +1,5 @@
-// What a sidecar knows of one server from its own attempts and from the load that the server reports. A core:
-// it holds no clock, socket, file or thread.
+// What a sidecar knows about one server, from its own attempts and from the load that the server reports.
+// Pure logic: it uses no clock, socket, file or thread.
 #ifndef VIOLETWING_DATAPLANE_LOAD_BALANCING_UPSTREAM_SERVER_STATE_HPP_
 #define VIOLETWING_DATAPLANE_LOAD_BALANCING_UPSTREAM_SERVER_STATE_HPP_
 
@@ -13,57 +13,59 @@
 
 namespace violetwing {
 
-/// Load that a server reports in X-Violetwing-Server-Load, in requests.
+/// Load that a server reports in X-Violetwing-Server-Load: its running and waiting requests, and its capacity
+/// in slots.
 struct ServerLoad {
   int running = 0;
   int waiting = 0;
   int slots = 0;
 };
 
-/// State of one server. `weights_key` is RequestAttributes::WeightsKey; times are of the steady clock.
+/// State of one server. `weights_key` is RequestAttributes::WeightsKey; times are steady clock times.
 class UpstreamServerState {
  public:
-  /// An attempt was sent there.
+  /// Records that an attempt was sent to the server.
   void OnSent(Micros now);
-  /// The server reported its load.
+  /// Records the load that the server reported.
   void OnLoadReported(const ServerLoad& load, Micros now);
-  /// An attempt got its first byte.
+  /// Records the first byte of an attempt's response.
   void OnFirstByte(Micros now);
-  /// An attempt ended. `first_byte_received`: OnFirstByte was called for it.
+  /// Records the end of an attempt. `first_byte_received`: whether OnFirstByte was called for the attempt.
   void OnEnd(AttemptResult result, const std::string& weights_key, bool first_byte_received, Micros now);
 
-  /// Neither ejected nor known to lack the model.
+  /// Whether the server is neither ejected nor known to lack the model.
   bool IsUsable(const std::string& weights_key, Micros now) const;
-  /// The server never rejected a request because it lacked the model.
+  /// Whether the server has never rejected a request because it lacked the model.
   bool HasNeverLackedModel(const std::string& weights_key) const;
-  /// It rejected a request a short time ago as it was full.
+  /// Whether the server recently rejected a request because it was full.
   bool IsFull(Micros now) const { return now < full_until_; }
-  /// It has left all that it was sent without a first byte for long.
+  /// Whether requests have been waiting for a first byte for a long time without any of them receiving one.
   bool IsUnresponsive(Micros now) const;
 
-  /// Requests in flight from this sidecar.
+  /// Number of this sidecar's requests in flight.
   int in_flight() const { return in_flight_; }
   /// Reported running requests of other sidecars, decayed since the report.
-  double DecayedRunningOfOthers(Micros now) const { return Decayed(reported_.running - in_flight_, now); }
+  double DecayedPeerRunning(Micros now) const { return Decayed(reported_.running - in_flight_, now); }
   /// Reported waiting requests, decayed since the report.
   double DecayedWaiting(Micros now) const { return Decayed(reported_.waiting, now); }
-  /// Reported requests of other sidecars, those that wait counted twice, decayed since the report.
-  double DecayedLoadOfOthers(Micros now) const {
+  /// Reported requests of other sidecars, with waiting ones counted twice, decayed since the report.
+  double DecayedPeerLoad(Micros now) const {
     return Decayed(reported_.running + 2 * reported_.waiting - in_flight_, now);
   }
 
-  /// Estimate of its prefix cache.
+  /// Estimated contents of the server's prefix cache.
   PrefixCache& prefix_cache() { return prefix_cache_; }
   const PrefixCache& prefix_cache() const { return prefix_cache_; }
 
  private:
-  // A reported figure says less the older it is. 0 for figures that are not positive, or without a report.
+  // A reported value, halved each half-life since the report, as an older one says less about the current
+  // load. 0 for values that are not positive, or without a report.
   double Decayed(int reported, Micros now) const;
   void OnFailure(FailureKind kind, Micros now);
 
   int in_flight_ = 0;
-  int awaiting_first_byte_ = 0;    // of these
-  Micros unresponsive_since_ = 0;  // last time that a response began while others were awaited; 0 if none is
+  int awaiting_first_byte_ = 0;    // requests in flight without a first byte
+  Micros unresponsive_since_ = 0;  // start of the wait for the next first byte; 0 if none is awaited
   ServerLoad reported_;
   Micros reported_at_ = 0;
   OutlierDetector outlier_detector_;
--- a/src/dataplane/routing/attempt.hpp
+++ b/src/dataplane/routing/attempt.hpp
@@ -1,4 +1,4 @@
-// One attempt of a request at one server, and the count of a request's attempts.
+// One attempt of a request at one server, and a counter of a request's attempts.
 #ifndef VIOLETWING_DATAPLANE_ROUTING_ATTEMPT_HPP_
 #define VIOLETWING_DATAPLANE_ROUTING_ATTEMPT_HPP_
 
@@ -12,54 +12,54 @@
 
 namespace violetwing {
 
-/// What a server has said so far about executing an attempt.
+/// Whether, and how, a server has rejected an attempt.
 enum class Rejection {
-  kNone,         ///< nothing, or that it executes it
-  kServerBusy,   ///< not executed: the server rejects it
-  kWrongServer,  ///< not executed: status 421, another instance or one without the model
+  kNone,         ///< no rejection received so far
+  kServerBusy,   ///< not executed: the server rejected it with X-Violetwing-Not-Executed
+  kWrongServer,  ///< not executed: status 421, from another instance or one without the model
 };
 
-/// The latest attempt of a request. Its server and times remain after its end, for the log.
+/// The latest attempt of a request. Its server and times are kept after its end for the log.
 struct Attempt {
   using TimePoint = std::chrono::steady_clock::time_point;
 
   std::shared_ptr<UpstreamExchange> exchange;  ///< null if no attempt is in flight
   std::string server;                          ///< instance id
   TimePoint sent_at;
-  TimePoint first_byte_at;  ///< of the latest attempt that got one
+  TimePoint first_byte_at;  ///< of the latest attempt that received one
   bool first_byte_received = false;
   Rejection rejection = Rejection::kNone;
 
-  /// True until the exchange ends or is cancelled.
+  /// True until the exchange ends or is canceled.
   bool InFlight() const { return exchange != nullptr; }
-  /// True if the server promised that it did not execute the request.
+  /// True if the server guarantees that it did not execute the request.
   bool IsRejected() const { return rejection != Rejection::kNone; }
 };
 
-/// Counts the attempts of one request by how they ended.
+/// Counts the attempts of one request by outcome.
 class AttemptCounter {
  public:
-  /// An attempt was sent.
+  /// Counts an attempt that was sent.
   void OnSent() { ++sent_; }
-  /// No connection could be established: the attempt reached no server.
+  /// Recounts a sent attempt as one that reached no server.
   void OnUnreachable() {
     --sent_;
     ++unreachable_;
   }
-  /// A server rejected an attempt.
+  /// Counts an attempt that a server rejected.
   void OnRejected() { ++rejected_; }
 
-  /// True if a further attempt is allowed on a route with that `max_attempts`.
+  /// True if another attempt is allowed on a route with the given `max_attempts`.
   bool MayRetry(int max_attempts) const {
     return sent_ < std::min(kMaxAttempts, max_attempts) && unreachable_ < kMaxUnreachable;
   }
-  /// Attempts that may have reached a server.
+  /// Number of attempts that may have reached a server.
   int sent() const { return sent_; }
-  /// Attempts that a server rejected.
+  /// Number of attempts that a server rejected.
   int rejected() const { return rejected_; }
 
  private:
-  // Servers attempted one after the other when none of them accepts a connection.
+  // Maximum number of attempts of one request that reach no server.
   static constexpr int kMaxUnreachable = 3;
 
   int sent_ = 0;
--- a/src/dataplane/routing/authentication.cpp
+++ b/src/dataplane/routing/authentication.cpp
@@ -8,8 +8,8 @@
 constexpr std::string_view kScheme = "Bearer";
 constexpr std::string_view kSpaces = " \t";
 
-// The only field of that name; null if there is none, or more than one.
-const std::string* FindOnly(const FieldList& fields, std::string_view name) {
+// Value of the only field with that name; null if there is none, or more than one.
+const std::string* FindUnique(const FieldList& fields, std::string_view name) {
   const std::string* found = nullptr;
   for (const Field& field : fields) {
     if (!SameName(field.name, name)) continue;
@@ -22,7 +22,7 @@
 }  // namespace
 
 std::optional<std::string_view> BearerKey(const FieldList& fields) {
-  const std::string* credentials = FindOnly(fields, field::kAuthorization);
+  const std::string* credentials = FindUnique(fields, field::kAuthorization);
   if (credentials == nullptr) return std::nullopt;
   std::string_view text = *credentials;
   const std::size_t scheme_end = text.find_first_of(kSpaces);
--- a/src/dataplane/routing/authentication.hpp
+++ b/src/dataplane/routing/authentication.hpp
@@ -1,4 +1,4 @@
-// Which tenant a request belongs to, by the key in its Authorization field (RFC 6750, section 2.1).
+// Identifies the tenant of a request by the API key in its Authorization field (RFC 6750, section 2.1).
 #ifndef VIOLETWING_DATAPLANE_ROUTING_AUTHENTICATION_HPP_
 #define VIOLETWING_DATAPLANE_ROUTING_AUTHENTICATION_HPP_
 
@@ -11,21 +11,21 @@
 
 namespace violetwing {
 
-/// The outcome for one request.
+/// Result of authenticating one request.
 struct Authentication {
   enum class Status {
     kNotNeeded,    ///< the route is public, or the configuration has no tenants
-    kTenantKnown,  ///< the key is one of `tenant`
-    kUnknownKey,   ///< no key, more than one, or one that no tenant holds
+    kTenantKnown,  ///< the key belongs to `tenant`
+    kUnknownKey,   ///< no key, more than one, or one that belongs to no tenant
   };
   Status status = Status::kNotNeeded;
   const configuration::Tenant* tenant = nullptr;  ///< null unless the key is known
 };
 
-/// The key of a request: "Bearer KEY" in its only Authorization field; empty for anything else.
+/// Returns the key of a request with exactly one Authorization field of the form "Bearer KEY", else nullopt.
 std::optional<std::string_view> BearerKey(const FieldList& fields);
 
-/// Identifies the tenant of a request on a route. The tenant belongs to the configuration of `keys`.
+/// Identifies the tenant of a request on a route. The configuration of `keys` owns the returned tenant.
 Authentication Authenticate(const ApiKeyIndex& keys, const configuration::Route& route,
                             const FieldList& fields);
 
--- a/src/dataplane/routing/data_plane.hpp
+++ b/src/dataplane/routing/data_plane.hpp
@@ -1,4 +1,4 @@
-// What all requests of a sidecar share.
+// The state shared by all requests of a sidecar.
 #ifndef VIOLETWING_DATAPLANE_ROUTING_DATA_PLANE_HPP_
 #define VIOLETWING_DATAPLANE_ROUTING_DATA_PLANE_HPP_
 
@@ -17,7 +17,7 @@
 
 class RequestRouter;
 
-/// Shared state of the requests of one sidecar; all of it is used on the thread of `io` only.
+/// Shared state of the requests of one sidecar. Used only on the thread of `io`.
 struct DataPlane {
   boost::asio::io_context& io;
   DirectoryPtr directory;  ///< the latest
@@ -26,7 +26,7 @@
   UpstreamPool pool;
   Random random;
   ControlLink* link = nullptr;  ///< null without a control plane; not owned
-  /// Requests that wait for a server with their model: to be told of each new directory.
+  /// Requests that wait for a server with their model; they are notified of each new directory.
   std::set<std::shared_ptr<RequestRouter>> waiting_for_model;
 };
 
--- a/src/dataplane/routing/end_reason.cpp
+++ b/src/dataplane/routing/end_reason.cpp
@@ -3,12 +3,12 @@
 namespace violetwing {
 namespace {
 
-struct Texts {
+struct ReasonTexts {
   std::string_view name;
   std::string_view response;
 };
 
-Texts TextsOf(EndReason reason) {
+ReasonTexts GetTexts(EndReason reason) {
   switch (reason) {
     case EndReason::kServed:
       return {"served", ""};
@@ -50,8 +50,8 @@
 
 }  // namespace
 
-std::string_view Name(EndReason reason) { return TextsOf(reason).name; }
+std::string_view Name(EndReason reason) { return GetTexts(reason).name; }
 
-std::string_view ResponseText(EndReason reason) { return TextsOf(reason).response; }
+std::string_view ResponseText(EndReason reason) { return GetTexts(reason).response; }
 
 }  // namespace violetwing
--- a/src/dataplane/routing/request_deadline.hpp
+++ b/src/dataplane/routing/request_deadline.hpp
@@ -1,4 +1,4 @@
-// How long a request may take, and how long it may wait for a model to be loaded.
+// Time limits of a request: its deadline, and how long it waits for a model to be loaded.
 #ifndef VIOLETWING_DATAPLANE_ROUTING_REQUEST_DEADLINE_HPP_
 #define VIOLETWING_DATAPLANE_ROUTING_REQUEST_DEADLINE_HPP_
 
@@ -9,8 +9,8 @@
 
 namespace violetwing {
 
-/// When the sidecar must have answered: the earlier of the client's deadline (X-Violetwing-Deadline-Ms) and
-/// the route's time-out, less a margin in which the response reaches the client.
+/// Time by which the sidecar must respond: the earlier of the client's deadline (X-Violetwing-Deadline-Ms)
+/// and the route's timeout, less a margin for the response to reach the client.
 std::chrono::steady_clock::time_point RequestDeadline(const ClientRequest& request,
                                                       const configuration::Route& route);
 
@@ -18,8 +18,8 @@
 /// whose clients wait until the deadline.
 double FirstEventTimeoutMs(const configuration::Route& route);
 
-/// How long a request waits for a model whose load takes `load_ms`, if its client waits `remaining_ms` more:
-/// some slack beyond the load, but early enough to answer. May be negative. All in ms.
+/// Maximum wait, in ms, for a model whose load takes `load_ms`, if the client waits `remaining_ms` more: the
+/// load time plus some slack, but short enough to leave time for the response. May be negative.
 double MaxModelWaitMs(double load_ms, double remaining_ms);
 
 }  // namespace violetwing
--- a/src/dataplane/routing/request_router.cpp
+++ b/src/dataplane/routing/request_router.cpp
@@ -18,23 +18,23 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-// An attempt given up with no first byte after so long counts as a failure of its server.
-constexpr milliseconds kTimedOutAfter{1500};
-// Bytes that the client may be behind before reading from the server is paused.
+// An attempt that is canceled after this time without a first byte counts as a failure of its server.
+constexpr milliseconds kFirstByteTimeout{1500};
+// Reading from the server is paused while more bytes than this are unsent to the client.
 constexpr std::size_t kMaxUnsentBytes = 262'144;
-// A retry must leave at least so much of the request's time.
+// A retry is scheduled only if more than this time remains for it before the deadline.
 constexpr std::int64_t kMinAttemptMs = 5;
-// Until a sidecar or control process that has just started has its state again.
+// Time in which a sidecar or control process recovers its state after a start.
 constexpr double kStartupS = 1.2;
 // Spreads the retries of clients that are rejected at the same time.
 constexpr double kRetryAfterJitterS = 0.2;
 
-// Statuses that by HTTP or by the users' protocol may say that the request was not executed.
+// Statuses that, by HTTP or by the clients' protocol, may mean that the request was not executed.
 bool MayMeanNotExecuted(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-Rejection RejectionOf(const ResponseHead& head) {
+Rejection GetRejection(const ResponseHead& head) {
   if (head.status == 421) return Rejection::kWrongServer;
   const bool not_executed = FindField(head.fields, field::kNotExecuted) != nullptr;
   return not_executed && MayMeanNotExecuted(head.status) ? Rejection::kServerBusy : Rejection::kNone;
@@ -66,7 +66,7 @@
 void RequestRouter::Start() {
   client_->on_gone = [self = shared_from_this()] { self->OnClientDisconnected(); };
   if (!directory_->HasConfiguration()) return Reject(EndReason::kNoConfiguration, kStartupS);
-  if (!FindRoute()) return RefuseByConfiguration(kNotFound, EndReason::kNoRoute);
+  if (!FindRoute()) return DenyByConfiguration(kNotFound, EndReason::kNoRoute);
   if (!Authorize()) return;
   StartDeadline();
   backend_ = PickBackend();
@@ -85,7 +85,7 @@
   const Authentication result = Authenticate(directory_->api_keys(), *route_, request_.fields);
   tenant_ = result.tenant;
   if (result.status == Authentication::Status::kUnknownKey) {
-    RefuseByConfiguration(kUnauthorized, EndReason::kUnknownKey);
+    DenyByConfiguration(kUnauthorized, EndReason::kUnknownKey);
     return false;
   }
   const bool is_trusted =
@@ -97,7 +97,7 @@
   return false;
 }
 
-void RequestRouter::RefuseByConfiguration(const Status& status, EndReason reason) {
+void RequestRouter::DenyByConfiguration(const Status& status, EndReason reason) {
   if (plane_.link != nullptr && !plane_.link->IsInTouch(SteadyMicros()))
     return Reject(EndReason::kOutOfTouch);
   Fail(status, reason);
@@ -111,7 +111,7 @@
   });
 }
 
-// Draws one of the route's backends by weight.
+// Picks one of the route's backends at random, in proportion to their weights.
 const configuration::Backend* RequestRouter::PickBackend() {
   double total_weight = 0;
   for (const configuration::Share& share : route_->shares) total_weight += share.weight;
@@ -145,7 +145,7 @@
   }
 }
 
-// The request itself is counted once, its wait for the model each time.
+// Counts the request itself only once, but its wait for the model on each call.
 void RequestRouter::CountDemand(ModelState state) {
   if (attributes_.model.empty() || plane_.link == nullptr) return;
   const bool waiting = state == ModelState::kMissing;
@@ -180,7 +180,7 @@
   Send(*instance);
 }
 
-// Reports the demand to the control plane, and waits for a directory in which a server has the model.
+// Reports the demand to the control plane and waits for a directory in which a server has the model.
 void RequestRouter::WaitForModel() {
   if (std::exchange(waited_for_model_, true)) {
     plane_.waiting_for_model.insert(shared_from_this());
@@ -191,7 +191,8 @@
   CountDemand(ModelState::kMissing);
   const double remaining_ms = std::min(static_cast<double>(RemainingMs()), FirstEventTimeoutMs(*route_));
   const double wait_ms = MaxModelWaitMs(*load_ms, remaining_ms);
-  // The load time is that of a model; that of an adapter alone is not known, so its requests wait anyway.
+  // The load time applies to models. That of an adapter alone is unknown, so requests for adapters always
+  // wait.
   if (attributes_.adapter.empty() && wait_ms < *load_ms) return Reject(EndReason::kModelLoadTooSlow);
   plane_.waiting_for_model.insert(shared_from_this());
   backoff_timer_.expires_after(microseconds(static_cast<std::int64_t>(wait_ms * 1000)));
@@ -240,15 +241,16 @@
   if (!std::exchange(attempt_.first_byte_received, true))
     plane_.load_balancer.OnFirstByte(attempt_.server, attributes_, kind, now);
   attempt_.first_byte_at = Clock::now();
-  attempt_.rejection = RejectionOf(head);
-  // A wrong server shows that the directory is out of date: servers attempted before may be picked again.
+  attempt_.rejection = GetRejection(head);
+  // A wrong server shows that the directory is outdated: servers attempted before may be picked again.
   if (attempt_.rejection == Rejection::kWrongServer) attributes_.attempted_servers.clear();
-  // Retried only after the complete response, so that its connection can be reused.
+  // The retry waits for the complete response, so that the connection can be reused.
   if (attempt_.IsRejected()) return;
   may_have_executed_ = true;
   CountUsage();
   if (MayMeanNotExecuted(head.status) && !IsIdempotent()) {
-    // The server does not say that it did not execute the request, but the status would say so to the client.
+    // The server does not guarantee that it did not execute the request, but the client would take the status
+    // as such a guarantee.
     attempt_.exchange->Cancel();
     EndAttempt(AttemptResult::kError);
     return Fail(kBadGateway, EndReason::kServerFailed);
@@ -259,7 +261,7 @@
   client_->SendHead(head.status, head.reason, head.fields, head.length, head.bodiless);
 }
 
-// A stream begins to run with its first event, other requests as soon as a server has them.
+// A stream counts from the start of its response, any other request from when it was sent to the server.
 void RequestRouter::CountUsage() {
   if (tenant_ == nullptr || plane_.link == nullptr) return;
   const bool streaming = route_->type == configuration::RouteType::kStreaming;
@@ -281,7 +283,8 @@
       attempt_counter_.OnUnreachable();
       return RetryOrReject();
     case ExchangeEnd::kNotAllowed:
-      spdlog::info("attempt withdrawn, its server leaves id={} upstream={}", request_id_, attempt_.server);
+      spdlog::info("attempt not sent, server is draining or deregistered id={} upstream={}", request_id_,
+                   attempt_.server);
       EndAttempt(AttemptResult::kCancelled);
       attempt_counter_.OnUnreachable();
       return RetryOrReject();
@@ -301,7 +304,7 @@
 }
 
 void RequestRouter::OnReset() {
-  // The head has already said that the request was not executed.
+  // The response head has already guaranteed that the request was not executed.
   if (attempt_.IsRejected()) return OnRejected(AttemptResult::kRejected);
   may_have_executed_ = true;
   EndAttempt(AttemptResult::kReset);
@@ -325,7 +328,7 @@
 void RequestRouter::CancelAttempt() {
   if (!attempt_.InFlight()) return;
   attempt_.exchange->Cancel();
-  const bool timed_out = !attempt_.first_byte_received && Clock::now() - attempt_.sent_at > kTimedOutAfter;
+  const bool timed_out = !attempt_.first_byte_received && Clock::now() - attempt_.sent_at > kFirstByteTimeout;
   EndAttempt(timed_out ? AttemptResult::kTimedOut : AttemptResult::kCancelled);
 }
 
@@ -347,7 +350,7 @@
 
 void RequestRouter::RetryOrReject() {
   if (may_have_executed_ && !IsIdempotent()) return Fail(kBadGateway, EndReason::kServerFailed);
-  // An attempt that reached no server is no load on the backend.
+  // If no attempt reached a server, the retry does not add load to the backend.
   const RetryCost cost = attempt_counter_.sent() > 0 ? RetryCost::kFromBudget : RetryCost::kFree;
   if (!ScheduleRetry(cost)) Reject(EndReason::kRetriesExhausted);
 }
@@ -404,7 +407,7 @@
   client_->on_drained = nullptr;
 }
 
-// One line a request, its times in ms since the request arrived; only at the level debug.
+// Logs one line per request, at debug level only. Times are in ms since the request arrived.
 void RequestRouter::LogFinished(EndReason reason) const {
   if (!spdlog::should_log(spdlog::level::debug)) return;
   const auto since_arrival_ms = [&](Clock::time_point at) {
--- a/src/dataplane/routing/request_router.hpp
+++ b/src/dataplane/routing/request_router.hpp
@@ -1,4 +1,4 @@
-// The life of one request in the sidecar: route, backend, server, attempts and retries, final response.
+// Handles one request in the sidecar: route, backend, server, attempts and retries, final response.
 #ifndef VIOLETWING_DATAPLANE_ROUTING_REQUEST_ROUTER_HPP_
 #define VIOLETWING_DATAPLANE_ROUTING_REQUEST_ROUTER_HPP_
 
@@ -19,20 +19,20 @@
 
 namespace violetwing {
 
-/// Routes one request. It owns itself by its handlers until it has finished, and runs on the thread of
-/// `plane.io`; `plane` must outlive it. Each request ends once, with one EndReason.
+/// Routes one request. Its handlers keep it alive until it has finished. It runs on the thread of `plane.io`;
+/// `plane` must outlive it. Each request ends exactly once, with one EndReason.
 ///
-/// A response of 503 promises that the request was not executed and will not be; if a server may have
-/// executed it and it is not idempotent, the client gets 502 or 504 instead.
+/// A 503 response guarantees that the request was not executed and will not be. If a server may have executed
+/// a request that is not idempotent, the client receives 502 or 504 instead.
 class RequestRouter : public std::enable_shared_from_this<RequestRouter> {
  public:
-  /// Takes the directory that `plane` has now.
+  /// Routes with the current directory of `plane`; later attempts pick servers from the latest one.
   RequestRouter(DataPlane& plane, ClientPtr client, ClientRequest request);
-  /// Begins; call once, on an object owned by a shared_ptr.
+  /// Starts routing. Call once, on an object owned by a shared_ptr.
   void Start();
-  /// There is a new directory: a request that waits for a model tries again.
+  /// Handles a new directory: a request that waits for a model picks a server again.
   void OnDirectory();
-  /// Reports again that the request waits for its model, as a message to the control plane may be lost.
+  /// Reports again that the request waits for its model, as messages to the control plane may be lost.
   void ReportDemand() { CountDemand(ModelState::kMissing); }
 
  private:
@@ -51,10 +51,11 @@
   static constexpr double kDefaultRetryAfterS = 0.05;
 
   bool FindRoute();
-  // Identifies the tenant. False if the request may not be executed: it has then ended.
+  // Identifies the tenant. If the request is not allowed, ends it and returns false.
   bool Authorize();
-  // Ends a request that the configuration of this sidecar does not allow: a newer one might.
-  void RefuseByConfiguration(const Status& status, EndReason reason);
+  // Ends a request that the configuration does not allow: with `status` and `reason`, or with 503 if the
+  // configuration may be outdated, as a newer one may allow the request.
+  void DenyByConfiguration(const Status& status, EndReason reason);
   void StartDeadline();
   const configuration::Backend* PickBackend();
   void ReadAttributes();
@@ -77,11 +78,11 @@
 
   void RetryOrReject();
   void RetryOrFail();
-  // False if no further attempt is allowed or would be in time.
+  // Returns false if no further attempt is allowed or fits before the deadline.
   bool ScheduleRetry(RetryCost cost);
 
-  // Final responses. Reject promises that the request was not executed; `retry_after_s`: when the client may
-  // be served, as far as that is known.
+  // Final responses. Reject guarantees that the request was not executed; `retry_after_s`: estimated time
+  // until the client can be served.
   void Reject(EndReason reason, double retry_after_s = kDefaultRetryAfterS);
   void Fail(const Status& status, EndReason reason);
   void OnDeadline();
@@ -95,7 +96,7 @@
   DataPlane& plane_;
   ClientPtr client_;
   ClientRequest request_;
-  DirectoryPtr directory_;  // of the request's start: owns the route
+  DirectoryPtr directory_;  // at the start of the request; owns *route_
   const configuration::Route* route_ = nullptr;
   const configuration::Backend* backend_ = nullptr;
   const configuration::Tenant* tenant_ = nullptr;  // null on public routes, and without tenants
--- a/src/dataplane/routing/retry_backoff.cpp
+++ b/src/dataplane/routing/retry_backoff.cpp
@@ -6,10 +6,10 @@
 namespace violetwing {
 namespace {
 
-// Latency targets are about a third of a second: a longer first wait would make the retry late.
+// Latency targets are about a third of a second; a longer first backoff would make the retry late.
 constexpr Micros kBaseBackoff = 60'000;
 constexpr Micros kMaxBackoff = 2'000'000;
-constexpr int kMaxDoublings = 10;  // beyond the cap; keeps the shift small
+constexpr int kMaxDoublings = 10;  // enough to exceed kMaxBackoff; prevents overflow of the shift
 
 }  // namespace
 
--- a/src/dataplane/routing/retry_backoff.hpp
+++ b/src/dataplane/routing/retry_backoff.hpp
@@ -1,4 +1,5 @@
-// How often, and after what wait, a request is retried. A core: it holds no clock, socket, file or thread.
+// Number of attempts of a request, and the backoff between them. Pure logic: it uses no clock, socket, file
+// or thread.
 #ifndef VIOLETWING_DATAPLANE_ROUTING_RETRY_BACKOFF_HPP_
 #define VIOLETWING_DATAPLANE_ROUTING_RETRY_BACKOFF_HPP_
 
@@ -7,11 +8,11 @@
 
 namespace violetwing {
 
-/// Attempts of a request at most, the first included; a route may allow fewer.
+/// Maximum number of attempts of a request, including the first; a route may allow fewer.
 inline constexpr int kMaxAttempts = 5;
 
-/// The wait before the next attempt after `rejections` (from 0): exponential backoff with full jitter,
-/// uniform between 0 and a bound that doubles with each rejection up to a cap.
+/// Backoff before the next attempt after `rejections` (at least 0) rejected ones: exponential with full
+/// jitter, uniform between 0 and a bound that doubles with each rejection up to a cap.
 Micros RetryBackoff(int rejections, Random& random);
 
 }  // namespace violetwing
--- a/src/dataplane/routing/retry_budget.cpp
+++ b/src/dataplane/routing/retry_budget.cpp
@@ -5,9 +5,9 @@
 namespace violetwing {
 namespace {
 
-// Share of the budget that is used: the backend counts the requests of all sidecars in a window of its own
-// clock, which slides at other moments than ours.
-constexpr double kUsableShare = 0.8;
+// Fraction of the budget that is used: the backend counts the requests of all sidecars in a sliding window of
+// its own clock, which is not aligned with the window of this sidecar.
+constexpr double kUsableFraction = 0.8;
 
 }  // namespace
 
@@ -27,7 +27,7 @@
   Usage& usage = usages_[backend];
   RemoveExpired(usage, now);
   const double slack = now - started_at_ < window_ ? 0 : slack_ / std::max(sidecars, 1);
-  const double max_retries = kUsableShare * (ratio_ * static_cast<double>(usage.requests.size()) + slack);
+  const double max_retries = kUsableFraction * (ratio_ * static_cast<double>(usage.requests.size()) + slack);
   if (static_cast<double>(usage.retries.size()) + 1 > max_retries) return false;
   usage.retries.push_back(now);
   return true;
--- a/src/dataplane/routing/retry_budget.hpp
+++ b/src/dataplane/routing/retry_budget.hpp
@@ -1,4 +1,4 @@
-// A budget for retries, so that they cannot multiply the load of an overloaded backend. A core: it holds no
+// Limits retries, so that they cannot multiply the load of an overloaded backend. Pure logic: it uses no
 // clock, socket, file or thread.
 #ifndef VIOLETWING_DATAPLANE_ROUTING_RETRY_BUDGET_HPP_
 #define VIOLETWING_DATAPLANE_ROUTING_RETRY_BUDGET_HPP_
@@ -11,20 +11,20 @@
 
 namespace violetwing {
 
-/// This sidecar's part of the retries that all sidecars may send to a backend within a sliding window: a
-/// ratio of its own requests, and an even part of the slack. For the first window after the start it spends
-/// none of the slack, as it does not know what it had spent before. Times are of the steady clock.
+/// This sidecar's share of the retries that all sidecars together may send to a backend within a sliding
+/// window: a ratio of its own requests plus an equal share of the slack. The slack is not used during the
+/// first window after a start, as the amount spent before a restart is unknown. Times are steady clock times.
 class RetryBudget {
  public:
-  /// `ratio`: retries for each request; `slack`: retries of all sidecars together, in a window of `window_s`
-  /// seconds.
+  /// `ratio`: retries per request; `slack`: additional retries of all sidecars together; both within a window
+  /// of `window_s` seconds.
   RetryBudget(double ratio, double slack, double window_s, Micros started_at)
       : ratio_(ratio), slack_(slack), window_(static_cast<Micros>(window_s * 1e6)), started_at_(started_at) {}
 
-  /// A request to the backend began.
+  /// Counts a new request to the backend.
   void OnRequest(const std::string& backend, Micros now);
-  /// Spends one retry; false, and nothing is spent, if the budget has none left. `sidecars`: how many share
-  /// the slack.
+  /// Spends one retry. Returns false and spends nothing if the budget is exhausted. `sidecars`: number of
+  /// sidecars that share the slack.
   bool TrySpend(const std::string& backend, int sidecars, Micros now);
 
  private:
--- a/src/dataplane/routing/upstream_request.cpp
+++ b/src/dataplane/routing/upstream_request.cpp
@@ -6,13 +6,14 @@
 namespace violetwing {
 namespace {
 
-// Decoding a token takes as long as prefilling so many.
-constexpr double kPrefillTokensPerDecoded = 10;
-// Room for the fields beside the body; only saves reallocations.
+// Decoding one token takes as long as prefilling this number of tokens.
+constexpr double kPrefillTokensPerDecodedToken = 10;
+// Space reserved for the head in addition to the body, to avoid reallocations.
 constexpr std::size_t kExpectedHeadBytes = 1024;
 
-// Set by the sidecar itself, or settled before the request is sent.
-bool IsReplaced(const Field& header) {
+// Whether a field of the client is not forwarded: the sidecar sets its own value or, for Expect, has already
+// answered the client.
+bool IsStripped(const Field& header) {
   return SameName(header.name, field::kDeadline) || SameName(header.name, field::kExpectedInstance) ||
          SameName(header.name, field::kTenant) || SameName(header.name, "Expect");
 }
@@ -25,8 +26,9 @@
   text.reserve(request.body.size() + kExpectedHeadBytes);
   text += request.method + " " + request.target + " HTTP/1.1\r\n";
   for (const Field& header : request.fields) {
-    const bool withheld = identity.withholds_credentials && SameName(header.name, field::kAuthorization);
-    if (!withheld && !IsReplaced(header)) AppendField(text, header.name, header.value);
+    const bool strip_authorization =
+        identity.strip_credentials && SameName(header.name, field::kAuthorization);
+    if (!strip_authorization && !IsStripped(header)) AppendField(text, header.name, header.value);
   }
   if (!identity.tenant.empty()) AppendField(text, field::kTenant, identity.tenant);
   AppendField(text, field::kDeadline, std::to_string(std::max<std::int64_t>(remaining_ms, 1)));
@@ -44,7 +46,7 @@
   return load;
 }
 
-double TokenCounts::PrefillEquivalent() const { return prompt + kPrefillTokensPerDecoded * max_output; }
+double TokenCounts::PrefillEquivalent() const { return prompt + kPrefillTokensPerDecodedToken * max_output; }
 
 TokenCounts ParseTokenCounts(const std::string& text) {
   TokenCounts counts;
--- a/src/dataplane/routing/upstream_request.hpp
+++ b/src/dataplane/routing/upstream_request.hpp
@@ -1,4 +1,5 @@
-// The header fields by which the sidecar and the servers talk about one request, and its text to a server.
+// The text of a request as it is sent to a server, and parsers of the header fields that describe a request
+// or the load of a server.
 #ifndef VIOLETWING_DATAPLANE_ROUTING_UPSTREAM_REQUEST_HPP_
 #define VIOLETWING_DATAPLANE_ROUTING_UPSTREAM_REQUEST_HPP_
 
@@ -10,19 +11,19 @@
 
 namespace violetwing {
 
-/// What a server is told of the client's identity.
+/// The client's identity as it is passed to a server.
 struct UpstreamIdentity {
-  bool withholds_credentials = false;  ///< the key is for the system alone: Authorization is left out
-  std::string tenant;                  ///< empty for none
+  bool strip_credentials = false;  ///< the key is meant for the sidecar only: Authorization is not forwarded
+  std::string tenant;              ///< empty for none
 };
 
-/// Head and body of the request as it is sent to an instance: the client's, with the deadline set to
-/// `remaining_ms` (at least 1), the expected instance named, and the tenant that the system has found in
-/// place of any that the client names.
+/// Head and body of the client's request as it is sent to an instance: with the deadline set to
+/// `remaining_ms` (at least 1), the id of the expected instance, and the authenticated tenant in place of any
+/// that the client gives.
 std::string BuildUpstreamRequest(const ClientRequest& request, const std::string& instance_id,
                                  std::int64_t remaining_ms, const UpstreamIdentity& identity);
 
-/// Parses X-Violetwing-Server-Load, "running,waiting,slots"; what is missing or malformed stays 0.
+/// Parses X-Violetwing-Server-Load, "running,waiting,slots"; missing or malformed values are 0.
 ServerLoad ParseServerLoad(const std::string& text);
 
 /// Token counts of a request from X-Violetwing-Token-Count, "prompt,max_output".
@@ -30,11 +31,11 @@
   double prompt = 0;
   double max_output = 0;
 
-  /// Cost of prefill and decode together, in prefilled tokens.
+  /// Cost of prefill and decode together, as a number of prefilled tokens.
   double PrefillEquivalent() const;
 };
 
-/// What is missing or malformed stays 0.
+/// Parses X-Violetwing-Token-Count; missing or malformed values are 0.
 TokenCounts ParseTokenCounts(const std::string& text);
 
 }  // namespace violetwing
--- a/tests/dataplane/load_balancing/load_balancer_test.cpp
+++ b/tests/dataplane/load_balancing/load_balancer_test.cpp
@@ -1,4 +1,4 @@
-// Which server a request is sent to.
+// Which server the load balancer picks for a request.
 #include "dataplane/load_balancing/load_balancer.hpp"
 
 #include <catch2/catch.hpp>
@@ -26,7 +26,7 @@
   CHECK(WindowOffset(0, 0, 0) == 0);
 }
 
-TEST_CASE("The less busy server is picked, and rejecting, attempted and ejected ones are skipped") {
+TEST_CASE("The less loaded server is picked, and ejected, attempted and wrong servers are skipped") {
   const Directory directory = TenServers(0, 1);
   LoadBalancer load_balancer(1);
   RequestAttributes attributes;
@@ -53,18 +53,18 @@
   }
 }
 
-TEST_CASE("An ejected server is picked if there is no other, one that lacks the model is not") {
+TEST_CASE("An ejected server is picked if there is no other, but not one that lacks the model") {
   Directory directory = TenServers(0, 1);
-  const std::vector<const Instance*> one = {directory.Servers("s")[0]};
+  const std::vector<const Instance*> candidates = {directory.Servers("s")[0]};
   LoadBalancer load_balancer(1);
   const RequestAttributes attributes{"m", "", nullptr, 0, {}, 0};
   for (int i = 0; i < 5; ++i) load_balancer.OnEnd("i-0", AttemptResult::kReset, attributes, false, kSecond);
-  CHECK(load_balancer.PickServer(one, directory, attributes, kSecond) != nullptr);
+  CHECK(load_balancer.PickServer(candidates, directory, attributes, kSecond) != nullptr);
   load_balancer.OnEnd("i-0", AttemptResult::kWrongServer, attributes, true, kSecond);
-  CHECK(load_balancer.PickServer(one, directory, attributes, kSecond) == nullptr);
+  CHECK(load_balancer.PickServer(candidates, directory, attributes, kSecond) == nullptr);
 }
 
-TEST_CASE("A prompt prefers the server that has its prefix cached, unless that is much busier") {
+TEST_CASE("A prompt prefers the server that has its prefix cached, unless that server is much busier") {
   const Directory directory = TenServers(0, 1);
   LoadBalancer load_balancer(1);
   const std::vector<PromptPart> parts = ParsePromptParts("5c:6000,91:3000");
@@ -81,29 +81,29 @@
   CHECK(load_balancer.PickServer(directory.Servers("s"), directory, attributes, kSecond) != first);
 }
 
-TEST_CASE("Among similarly busy servers an open connection decides, then the zone") {
-  Directory near = TenServers(0, 1);
+TEST_CASE("Among servers of similar load, an open connection decides, then the zone") {
+  Directory base = TenServers(0, 1);
   std::map<std::string, Instance> instances;
-  for (const Instance* instance : near.Servers("s")) {
+  for (const Instance* instance : base.Servers("s")) {
     instances[instance->id] = *instance;
     instances[instance->id].zone = instance->id == "i-4" ? "own" : "other";
   }
   const Directory directory(nullptr, instances, 0, 1);
-  const std::vector<PromptPart> parts = ParsePromptParts("91:3000");  // of its own alone: no homes
+  const std::vector<PromptPart> parts = ParsePromptParts("91:3000");  // a single part: no affinity servers
   std::string connected;
   LoadBalancer load_balancer(1);
   load_balancer.SetLocality("own", [&](const std::string& id) { return id == connected; });
   RequestAttributes attributes{"m", "", &parts, 3000, {}, 0};
-  const auto chosen = [&] {
+  const auto picked = [&] {
     return load_balancer.PickServer(directory.Servers("s"), directory, attributes, kSecond)->id;
   };
-  CHECK(chosen() == "i-4");
+  CHECK(picked() == "i-4");
   connected = "i-6";
-  CHECK(chosen() == "i-6");
-  const std::vector<PromptPart> others = ParsePromptParts("bb:9000");
-  RequestAttributes large{"other", "", &others, 9000, {}, 0};
+  CHECK(picked() == "i-6");
+  const std::vector<PromptPart> other_parts = ParsePromptParts("bb:9000");
+  RequestAttributes large{"other", "", &other_parts, 9000, {}, 0};
   load_balancer.OnSent("i-6", large, kSecond);
-  CHECK(chosen() == "i-4");
+  CHECK(picked() == "i-4");
 }
 
 TEST_CASE("Without prompt parts, an open connection decides between equally busy servers") {
@@ -113,22 +113,22 @@
   std::map<std::string, int> sent;
   for (int i = 0; i < 400; ++i)
     ++sent[load_balancer.PickServer(directory.Servers("s"), directory, {}, kSecond)->id];
-  // Drawn in about a quarter of the pairs, and taken in each of them; half of these without it.
+  // In about a quarter of the random pairs, and picked in each of them; without the connection, in half.
   CHECK(sent["i-3"] > 75);
   CHECK(sent.size() == 8);
 }
 
 TEST_CASE("All sidecars agree on the affinity servers of a shared prefix") {
   const std::vector<PromptPart> parts = ParsePromptParts("5c:6000,91:3000");
-  std::set<std::string> chosen;
+  std::set<std::string> picked;
   for (int number = 0; number < 9; ++number) {
     const Directory directory = TenServers(number, 9);
     LoadBalancer load_balancer(static_cast<std::uint64_t>(number));
-    chosen.insert(
+    picked.insert(
         load_balancer.PickServer(directory.Servers("s"), directory, {"m", "", &parts, 9000, {}, 0}, kSecond)
             ->id);
   }
-  CHECK(chosen.size() <= 2);
+  CHECK(picked.size() <= 2);
 }
 
 TEST_CASE("Prompts queued for prefill count as load of their server") {
@@ -138,11 +138,11 @@
   RequestAttributes attributes{"m", "", &parts, 9000, {}, 0};
   const Instance* first = load_balancer.PickServer(directory.Servers("s"), directory, attributes, kSecond);
   std::vector<RequestAttributes> sent(4, attributes);
-  const std::vector<PromptPart> others = ParsePromptParts("aa:1,bb:9000");
-  for (RequestAttributes& one : sent) {
-    one.prompt_parts = &others;
-    one.model = "other";
-    load_balancer.OnSent(first->id, one, kSecond);
+  const std::vector<PromptPart> other_parts = ParsePromptParts("aa:1,bb:9000");
+  for (RequestAttributes& queued : sent) {
+    queued.prompt_parts = &other_parts;
+    queued.model = "other";
+    load_balancer.OnSent(first->id, queued, kSecond);
   }
   CHECK(load_balancer.PickServer(directory.Servers("s"), directory, attributes, kSecond) != first);
 }
--- a/tests/dataplane/load_balancing/load_report_test.cpp
+++ b/tests/dataplane/load_balancing/load_report_test.cpp
@@ -1,4 +1,4 @@
-// Load reports between sidecars: what they say, how they are exchanged, and their effect on server picks.
+// Load reports between sidecars: their contents, their exchange, and their effect on the picked servers.
 #include <catch2/catch.hpp>
 
 #include "common/steady_time.hpp"
@@ -17,7 +17,7 @@
 
 constexpr std::int64_t kSecond = 1'000'000;
 
-RequestAttributes AttributesOf(const std::vector<PromptPart>& parts) {
+RequestAttributes MakeAttributes(const std::vector<PromptPart>& parts) {
   RequestAttributes attributes;
   attributes.model = "m";
   attributes.prompt_parts = &parts;
@@ -30,19 +30,19 @@
   return "127.0.0.1:" + std::to_string(free.local_endpoint().port());
 }
 
-// A sidecar's choices, whose reports the test delivers to others.
+// The load balancer of one sidecar, whose reports the tests deliver to other sidecars.
 struct Sidecar {
   explicit Sidecar(std::uint64_t seed) : load_balancer(seed) {
     load_balancer.SetOnReportPending(
         [this](ReportUrgency urgency) { immediate_reports += urgency == ReportUrgency::kImmediate ? 1 : 0; });
   }
   std::string PickServer(const std::vector<PromptPart>& parts) {
-    const RequestAttributes attributes = AttributesOf(parts);
+    const RequestAttributes attributes = MakeAttributes(parts);
     return load_balancer.PickServer(directory.ServersWithModel("s", "m", ""), directory, attributes, kSecond)
         ->id;
   }
   std::string Send(const std::vector<PromptPart>& parts, std::int64_t now) {
-    RequestAttributes attributes = AttributesOf(parts);
+    RequestAttributes attributes = MakeAttributes(parts);
     const Instance* instance =
         load_balancer.PickServer(directory.ServersWithModel("s", "m", ""), directory, attributes, now);
     REQUIRE(instance != nullptr);
@@ -59,16 +59,16 @@
 TEST_CASE("Sidecars that exchange load reports do not send long prompts to the same idle server") {
   Sidecar first(1);
   Sidecar second(1);
-  const std::string taken = first.Send({{"a", 9000}}, kSecond);
+  const std::string busy_server = first.Send({{"a", 9000}}, kSecond);
   CHECK(first.immediate_reports == 1);
-  // A prompt that the second sidecar, which sees its own requests alone, sends there too.
+  // Finds a prompt that the second sidecar, which sees only its own requests, sends to the same server.
   std::vector<PromptPart> parts;
-  for (int i = 0; second.PickServer(parts) != taken; ++i) {
+  for (int i = 0; second.PickServer(parts) != busy_server; ++i) {
     REQUIRE(i < 100);
     parts = {{"b" + std::to_string(i), 6000}, {"own", 3000}};
   }
   second.load_balancer.OnPeerReport(first.load_balancer.TakeReport(), kSecond);
-  CHECK(second.PickServer(parts) != taken);
+  CHECK(second.PickServer(parts) != busy_server);
 }
 
 TEST_CASE("A prefix cached for another sidecar's prompt attracts requests that share it") {
@@ -77,7 +77,7 @@
   for (const char* id : {"i-0", "i-1", "i-2"}) {
     Sidecar first(1);
     Sidecar second(2);
-    RequestAttributes attributes = AttributesOf(before);
+    RequestAttributes attributes = MakeAttributes(before);
     first.load_balancer.OnSent(id, attributes, kSecond);
     second.load_balancer.OnPeerReport(first.load_balancer.TakeReport(), kSecond);
     CHECK(second.Send(after, 2 * kSecond) == id);
@@ -87,10 +87,10 @@
 TEST_CASE("A report lists the prompts sent since the last one, and implausible ones are ignored") {
   Sidecar sidecar(1);
   const std::vector<PromptPart> parts{{"5c1e07a2", 800}, {"91bd3f06", 410}};
-  const std::string taken = sidecar.Send(parts, kSecond);
+  const std::string busy_server = sidecar.Send(parts, kSecond);
   LoadReport report = sidecar.load_balancer.TakeReport();
   REQUIRE(report.prompts.size() == 1);
-  CHECK(report.prompts[0].server == taken);
+  CHECK(report.prompts[0].server == busy_server);
   CHECK(report.prompts[0].weights == "m");
   CHECK(report.prompts[0].parts == "5c1e07a2:800,91bd3f06:410");
   CHECK(report.prompts[0].read_ms > 0);
@@ -101,18 +101,18 @@
     report.prompts[0].read_ms = ms;
     other.load_balancer.OnPeerReport(report, kSecond);
   }
-  RequestAttributes attributes = AttributesOf(parts);
-  other.load_balancer.OnSent(taken, attributes, kSecond);
+  RequestAttributes attributes = MakeAttributes(parts);
+  other.load_balancer.OnSent(busy_server, attributes, kSecond);
   CHECK(attributes.queued_prefill_ms == 0);
 }
 
-TEST_CASE("Prefill speed is learned only from requests that waited for little else") {
+TEST_CASE("Prefill speed is estimated only from reliable samples") {
   Sidecar sidecar(1);
   const std::vector<PromptPart> parts{{"a", 4000}};
-  const std::vector<PromptPart> others{{"b", 4000}};
-  RequestAttributes first = AttributesOf(parts);
+  const std::vector<PromptPart> other_parts{{"b", 4000}};
+  RequestAttributes first = MakeAttributes(parts);
   sidecar.load_balancer.OnSent("i-0", first, kSecond);
-  RequestAttributes second = AttributesOf(others);
+  RequestAttributes second = MakeAttributes(other_parts);
   sidecar.load_balancer.OnSent("i-0", second, kSecond);
   CHECK(second.queued_prefill_ms == Approx(first.uncached_prefill_ms));
   RequestAttributes third;
@@ -120,18 +120,19 @@
                               std::int64_t after_ms) {
     sidecar.load_balancer.OnFirstByte("i-0", attributes, kind, kSecond + after_ms * 1000);
   };
-  const double unknown = first.uncached_prefill_ms / first.uncached_prompt_tokens;
-  first_byte(second, FirstByteKind::kExecuting, 100);  // it waited behind the first one
+  const double default_ms_per_token = first.uncached_prefill_ms / first.uncached_prompt_tokens;
+  first_byte(second, FirstByteKind::kExecuting, 100);  // queued behind the first one
   first_byte(first, FirstByteKind::kOther, 40);        // rejected
   first_byte(first, FirstByteKind::kExecuting, 10);    // too fast: the prefix was cached
-  sidecar.load_balancer.OnSent("i-1", third = AttributesOf(others), kSecond);
-  CHECK(third.uncached_prefill_ms / third.uncached_prompt_tokens == Approx(unknown));
+  sidecar.load_balancer.OnSent("i-1", third = MakeAttributes(other_parts), kSecond);
+  CHECK(third.uncached_prefill_ms / third.uncached_prompt_tokens == Approx(default_ms_per_token));
   first_byte(first, FirstByteKind::kExecuting, 40);
-  sidecar.load_balancer.OnSent("i-2", third = AttributesOf(others), kSecond);
+  sidecar.load_balancer.OnSent("i-2", third = MakeAttributes(other_parts), kSecond);
   CHECK(third.uncached_prefill_ms / third.uncached_prompt_tokens == Approx(0.01));
 }
 
-TEST_CASE("Neighbors are the sidecars with the nearest numbers on both sides, equal at every process") {
+TEST_CASE(
+    "Neighbors are the sidecars with the nearest numbers on both sides, the same at every control process") {
   SidecarRegistry one;
   SidecarRegistry other;
   const auto address = [](int i) { return "10.0.0." + std::to_string(i) + ":7660"; };
@@ -161,15 +162,15 @@
   CHECK(sidecars.NeighborsOf("a", 60 * kSecond).addresses.empty());
 }
 
-TEST_CASE("A report stands for the prompts of the sidecars that do not report here") {
+TEST_CASE("A report is scaled up for the sidecars that do not report to this one") {
   Sidecar first(1);
   Sidecar second(1);
   const std::vector<PromptPart> parts{{"a", 9000}};
-  const std::string taken = first.Send(parts, kSecond);
+  const std::string busy_server = first.Send(parts, kSecond);
   second.load_balancer.SetSidecarsPerReport(3);
   second.load_balancer.OnPeerReport(first.load_balancer.TakeReport(), kSecond);
-  RequestAttributes attributes = AttributesOf(parts);
-  second.load_balancer.OnSent(taken, attributes, kSecond);
+  RequestAttributes attributes = MakeAttributes(parts);
+  second.load_balancer.OnSent(busy_server, attributes, kSecond);
   CHECK(attributes.queued_prefill_ms == Approx(9000 * 0.034 * 3).margin(3));
 }
 
@@ -180,32 +181,32 @@
   LoadReportExchange receiver(io, "receiver", receiving.load_balancer);
   REQUIRE_FALSE(receiver.Start(address));
 
-  boost::asio::ip::udp::socket stranger(io, {boost::asio::ip::make_address("127.0.0.1"), 0});
+  boost::asio::ip::udp::socket malformed_sender(io, {boost::asio::ip::make_address("127.0.0.1"), 0});
   const auto port = static_cast<unsigned short>(std::stoi(address.substr(address.rfind(':') + 1)));
-  const boost::asio::ip::udp::endpoint to(boost::asio::ip::make_address("127.0.0.1"), port);
+  const boost::asio::ip::udp::endpoint receiver_endpoint(boost::asio::ip::make_address("127.0.0.1"), port);
   for (const std::string& text : {std::string("{"), std::string("[1]"), std::string("{\"node\":\"x\"}"),
                                   std::string(9000, 'x'), std::string()})
-    stranger.send_to(boost::asio::buffer(text), to);
+    malformed_sender.send_to(boost::asio::buffer(text), receiver_endpoint);
 
   Sidecar sending(1);
   LoadReportExchange sender(io, "sender", sending.load_balancer);
   REQUIRE_FALSE(sender.Start(FreeAddress(io)));
   sender.SetNeighbors({address, "not an address"});
   const std::vector<PromptPart> parts{{"a", 9000}};
-  const std::vector<PromptPart> others{{"b", 9000}};
-  const std::string taken = sending.Send(parts, SteadyMicros());
+  const std::vector<PromptPart> other_parts{{"b", 9000}};
+  const std::string busy_server = sending.Send(parts, SteadyMicros());
   const auto avoided = [&] {
-    RequestAttributes attributes = AttributesOf(others);
-    int to_taken = 0;
+    RequestAttributes attributes = MakeAttributes(other_parts);
+    int picks_of_busy = 0;
     for (int i = 0; i < 30; ++i) {
-      const auto holders = receiving.directory.ServersWithModel("s", "m", "");
-      to_taken +=
-          receiving.load_balancer.PickServer(holders, receiving.directory, attributes, SteadyMicros())->id ==
-                  taken
+      const auto candidates = receiving.directory.ServersWithModel("s", "m", "");
+      picks_of_busy +=
+          receiving.load_balancer.PickServer(candidates, receiving.directory, attributes, SteadyMicros())
+                      ->id == busy_server
               ? 1
               : 0;
     }
-    return to_taken == 0;
+    return picks_of_busy == 0;
   };
   CHECK(RunUntil(io, avoided));
   sender.Stop();
@@ -225,7 +226,7 @@
   CHECK(view.Apply(reply));
   CHECK(view.neighbors() == std::vector<std::string>{"10.0.0.2:1"});
   CHECK(view.NextWatchRequest(0, {}).neighbors_hash == 5);
-  reply.neighbors = {5, {}};  // the same still
+  reply.neighbors = {5, {}};  // the same hash: the addresses are unchanged
   CHECK_FALSE(view.Apply(reply));
   CHECK(view.neighbors().size() == 1);
   CHECK_FALSE(Decode<WatchReply>(without("changed")));
--- a/tests/dataplane/load_balancing/prefill_queue_test.cpp
+++ b/tests/dataplane/load_balancing/prefill_queue_test.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-TEST_CASE("Queued prefill time adds up, and drains as time passes") {
+TEST_CASE("Queued prefill times add up, and decrease as time passes") {
   PrefillQueue queue;
   queue.Enqueue("i-0", 200, kSecond);
   queue.Enqueue("i-0", 100, kSecond + 50'000);
@@ -19,11 +19,11 @@
   CHECK(queue.RemainingMs("i-0", kSecond + 200'000) == Approx(100));
   CHECK(queue.RemainingMs("i-0", 2 * kSecond) == 0);
   CHECK(queue.RemainingMs("i-1", kSecond) == 0);
-  queue.Enqueue("i-0", 100, 3 * kSecond);  // it stood idle meanwhile
+  queue.Enqueue("i-0", 100, 3 * kSecond);  // the queue was empty in between
   CHECK(queue.RemainingMs("i-0", 3 * kSecond) == Approx(100));
 }
 
-TEST_CASE("A first byte completes its prefill and those queued before it, early or late") {
+TEST_CASE("A first byte, early or late, removes its prompt and those queued before it") {
   PrefillQueue queue;
   queue.Enqueue("i-0", 200, kSecond);
   queue.Enqueue("i-0", 300, kSecond + 1);
@@ -31,8 +31,8 @@
   queue.OnPrefillDone("i-0", kSecond + 1, kSecond + 100'000);
   CHECK(queue.RemainingMs("i-0", kSecond + 100'000) == Approx(50));
   queue.Enqueue("i-0", 100, kSecond + 200'000);
-  queue.OnPrefillDone("i-0", kSecond + 2,
-                      2 * kSecond);  // slower than expected: the last one is yet to be read
+  // Later than expected: the last prompt has not been prefilled yet.
+  queue.OnPrefillDone("i-0", kSecond + 2, 2 * kSecond);
   CHECK(queue.RemainingMs("i-0", 2 * kSecond) == Approx(100));
   queue.OnPrefillDone("i-1", kSecond, kSecond);
   CHECK(queue.RemainingMs("i-1", kSecond) == 0);
--- a/tests/dataplane/routing/authentication_test.cpp
+++ b/tests/dataplane/routing/authentication_test.cpp
@@ -1,4 +1,4 @@
-// Keys of requests: which are read, and to which tenant they lead.
+// Authentication: which keys are accepted, which tenants they identify, and what a server receives.
 #include "dataplane/routing/authentication.hpp"
 
 #include <catch2/catch.hpp>
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("Each key leads to its tenant, and only a whole key does") {
+TEST_CASE("Each key identifies its tenant, and only an exact match does") {
   const configuration::Configuration configuration = TwoTenants();
   const ApiKeyIndex keys(configuration);
   CHECK(keys.IsRequired());
@@ -31,7 +31,7 @@
   CHECK_FALSE(ApiKeyIndex(configuration::Configuration()).IsRequired());
 }
 
-TEST_CASE("A key is read from one Authorization field of the Bearer scheme alone") {
+TEST_CASE("A key is accepted only from a single Authorization field with the Bearer scheme") {
   CHECK(BearerKey(Authorization("Bearer k")) == "k");
   CHECK(BearerKey(Authorization("bearer   k ")) == "k");
   for (const char* other : {"", "k", "Bearer", "Bearer ", "Basic k", "Bearerk"})
@@ -40,21 +40,21 @@
   CHECK_FALSE(BearerKey({{"Authorization", "Bearer k"}, {"authorization", "Bearer k"}}));
 }
 
-TEST_CASE("A public route needs no key, any other does where the configuration has tenants") {
+TEST_CASE("A public route needs no key, any other route requires one if the configuration has tenants") {
   const configuration::Configuration configuration = TwoTenants();
   const ApiKeyIndex keys(configuration);
-  configuration::Route closed;
-  configuration::Route open;
-  open.is_public = true;
-  CHECK(Authenticate(keys, closed, {}).status == Status::kUnknownKey);
-  CHECK(Authenticate(keys, closed, Authorization("Bearer nobody's")).status == Status::kUnknownKey);
-  CHECK(Authenticate(keys, closed, Authorization("Bearer key-b")).tenant->name == "bob");
-  CHECK(Authenticate(keys, open, {}).status == Status::kNotNeeded);
-  CHECK(Authenticate(keys, open, Authorization("Bearer nobody's")).tenant == nullptr);
-  CHECK(Authenticate(ApiKeyIndex(), closed, {}).status == Status::kNotNeeded);
+  configuration::Route private_route;
+  configuration::Route public_route;
+  public_route.is_public = true;
+  CHECK(Authenticate(keys, private_route, {}).status == Status::kUnknownKey);
+  CHECK(Authenticate(keys, private_route, Authorization("Bearer nobody's")).status == Status::kUnknownKey);
+  CHECK(Authenticate(keys, private_route, Authorization("Bearer key-b")).tenant->name == "bob");
+  CHECK(Authenticate(keys, public_route, {}).status == Status::kNotNeeded);
+  CHECK(Authenticate(keys, public_route, Authorization("Bearer nobody's")).tenant == nullptr);
+  CHECK(Authenticate(ApiKeyIndex(), private_route, {}).status == Status::kNotNeeded);
 }
 
-TEST_CASE("A server is told the tenant that the system has found, never the key or the client's claim") {
+TEST_CASE("A server receives the authenticated tenant, but neither the key nor a tenant set by the client") {
   ClientRequest request;
   request.method = "POST";
   request.target = "/x/";
--- a/tests/dataplane/routing/end_reason_test.cpp
+++ b/tests/dataplane/routing/end_reason_test.cpp
@@ -6,20 +6,20 @@
 namespace violetwing {
 namespace {
 
-constexpr int kReasons = static_cast<int>(EndReason::kClientDisconnected) + 1;
+constexpr int kReasonCount = static_cast<int>(EndReason::kClientDisconnected) + 1;
 
 }  // namespace
 
-TEST_CASE("Every end reason has its own name for the log") {
+TEST_CASE("Every end reason has a unique name for the log") {
   std::set<std::string_view> names;
-  for (int i = 0; i < kReasons; ++i) {
+  for (int i = 0; i < kReasonCount; ++i) {
     const std::string_view name = Name(static_cast<EndReason>(i));
     CHECK_FALSE(name.empty());
     CHECK(names.insert(name).second);
   }
 }
 
-TEST_CASE("Response texts of end reasons are those that clients have seen so far") {
+TEST_CASE("Response texts of end reasons do not change, as clients see them") {
   CHECK(ResponseText(EndReason::kNoConfiguration) == "no configuration yet");
   CHECK(ResponseText(EndReason::kNoRoute) == "no route");
   CHECK(ResponseText(EndReason::kNoBackend) == "no service");
--- a/tests/dataplane/routing/retry_backoff_test.cpp
+++ b/tests/dataplane/routing/retry_backoff_test.cpp
@@ -1,4 +1,4 @@
-// The wait before a retry.
+// The backoff before a retry.
 #include "dataplane/routing/retry_backoff.hpp"
 
 #include <algorithm>
@@ -15,9 +15,9 @@
   Random random(1);
   Micros longest = 0;
   for (int i = 0; i < 1000; ++i) {
-    const Micros wait = RetryBackoff(0, random);
-    CHECK(wait >= 0);
-    longest = std::max(longest, wait);
+    const Micros backoff = RetryBackoff(0, random);
+    CHECK(backoff >= 0);
+    longest = std::max(longest, backoff);
   }
   CHECK(longest <= 60'000);
   CHECK(longest > 50'000);
--- a/tests/dataplane/routing/retry_budget_test.cpp
+++ b/tests/dataplane/routing/retry_budget_test.cpp
@@ -24,7 +24,7 @@
   CHECK(spent >= 0.5 * (0.2 * 900 + 58));
 }
 
-TEST_CASE("The slack of the retry budget is not spent right after a start") {
+TEST_CASE("The slack of the retry budget is not available in the first window after a start") {
   RetryBudget budget(0.2, 58, 10, 0);
   CHECK_FALSE(budget.TrySpend("s", 1, kSecond));
   CHECK(budget.TrySpend("s", 1, 11 * kSecond));
