--- a/src/dataplane/load_balancing/prefill_estimate.cpp
+++ b/src/dataplane/load_balancing/prefill_estimate.cpp
@@ -5,7 +5,7 @@
 
 constexpr double kDefaultMsPerToken = 0.034;
 constexpr double kMinSampleTokens = 2000;
-// Factor by which each new sample reduces the weight of all older ones.
+// Factor by which the weight of all older samples is multiplied with each new one.
 constexpr double kSampleDecay = 0.9;
 // A prefill that takes a smaller fraction of the expected time means that part of the prompt was cached.
 constexpr double kMinPlausibleFraction = 0.15;
--- a/src/dataplane/load_balancing/upstream_server_state.hpp
+++ b/src/dataplane/load_balancing/upstream_server_state.hpp
@@ -58,8 +58,8 @@
   const PrefixCache& prefix_cache() const { return prefix_cache_; }
 
  private:
-  // A reported value, halved each half-life since the report, as an older one says less about the current
-  // load. 0 for values that are not positive, or without a report.
+  // A reported value, decayed exponentially with its age, as an older one says less about the current load. 0
+  // for values that are not positive, or without a report.
   double Decayed(int reported, Micros now) const;
   void OnFailure(FailureKind kind, Micros now);
 
--- a/src/dataplane/routing/request_router.cpp
+++ b/src/dataplane/routing/request_router.cpp
@@ -261,7 +261,8 @@
   client_->SendHead(head.status, head.reason, head.fields, head.length, head.bodiless);
 }
 
-// A stream counts from the start of its response, any other request from when it was sent to the server.
+// Counts the request from when the server begins to execute it: a stream from the start of its response, any
+// other request from when it was sent.
 void RequestRouter::CountUsage() {
   if (tenant_ == nullptr || plane_.link == nullptr) return;
   const bool streaming = route_->type == configuration::RouteType::kStreaming;
