--- a/src/control/core/control_core.cpp
+++ b/src/control/core/control_core.cpp
@@ -55,7 +55,7 @@
       now_(now),
       table_(incarnation_, kMissedHeartbeats * settings.heartbeat_ms * kMicrosPerMs),
       placer_({[this](const PlacementCall& order, duties::FencingToken token) {
-                 leases_.OnCall(duties::Duty::kPlacement, now_);
+                 leases_.OnCallSent(duties::Duty::kPlacement, now_);
                  outputs_.send_order(order, token);
                },
                outputs_.request_report}),
@@ -95,7 +95,7 @@
   outputs.record = [this](const duties::RecordUsage& command) { SubmitDutyCommand(command); };
   outputs.delivered = [this](const duties::UsageDelivered& command) { SubmitDutyCommand(command); };
   outputs.call = [this](const duties::PlatformCall& call) {
-    leases_.OnCall(call.duty, now_);
+    leases_.OnCallSent(call.duty, now_);
     outputs_.call_platform(call);
   };
   return outputs;
@@ -337,7 +337,7 @@
   leases_.Tick(shards_.configuration_replica(), shards_.duties(), now_);
   PlanPlacements();
   const std::optional<Micros> true_time = true_time_.At(now_);
-  if (true_time) usage_reporter_.ForgetSettled(shards_.duties(), usage_counts_, *true_time);
+  if (true_time) usage_reporter_.PruneCounts(shards_.duties(), usage_counts_, *true_time);
   const auto usage_token = Grant(duties::Duty::kUsage, now_);
   if (settings_.reports_usage && usage_token && true_time)
     usage_reporter_.Tick(*usage_token, shards_.duties(), usage_counts_, *true_time, now_);
--- a/src/control/duties/lease_keeper.hpp
+++ b/src/control/duties/lease_keeper.hpp
@@ -49,7 +49,7 @@
   std::optional<FencingToken> Grant(Duty duty, const consensus::Replica& replica, const DutyTable& table,
                                     Micros now) const;
   /// A call of the duty leaves.
-  void OnCall(Duty duty, Micros now) { held_[duty].last_call_at = now; }
+  void OnCallSent(Duty duty, Micros now) { held_[duty].last_call_at = now; }
 
  private:
   struct Held {
--- a/src/control/duties/usage_reporter.cpp
+++ b/src/control/duties/usage_reporter.cpp
@@ -32,7 +32,7 @@
   Send(token, table, now);
 }
 
-void UsageReporter::ForgetSettled(const DutyTable& table, UsageTable& counts, Micros true_time) {
+void UsageReporter::PruneCounts(const DutyTable& table, UsageTable& counts, Micros true_time) {
   for (const std::int64_t window : counts.Windows()) {
     if (!table.IsRecorded(window)) break;
     counts.ForgetUpTo(window);
--- a/src/control/duties/usage_reporter.hpp
+++ b/src/control/duties/usage_reporter.hpp
@@ -41,7 +41,7 @@
   void Tick(FencingToken token, const DutyTable& table, const UsageTable& counts, Micros true_time,
             Micros now);
   /// Forgets counts that no report will need any more. To be called at short intervals by every process.
-  void ForgetSettled(const DutyTable& table, UsageTable& counts, Micros true_time);
+  void PruneCounts(const DutyTable& table, UsageTable& counts, Micros true_time);
   /// The call for `window` has ended.
   void OnAnswered(std::int64_t window, PlatformAnswer answer, Micros now);
 
