--- a/src/control/placement/demand_tracker.cpp
+++ b/src/control/placement/demand_tracker.cpp
@@ -9,12 +9,12 @@
 namespace violetwing {
 namespace {
 
-// Time constant of the averages: demand moves to other models within seconds.
-constexpr double kTimeConstantS = 1.5;
-// The same for models that are requested once in some seconds.
+// Time constant of the fast averages: demand shifts between models within seconds.
+constexpr double kFastTimeConstantS = 1.5;
+// Time constant of the steady average, for models that are requested only once every few seconds.
 constexpr double kSteadyTimeConstantS = 15;
-// Sidecars repeat the report of a waiting request every few hundred ms; without one for this long, the
-// request waits no more.
+// Sidecars repeat the report of a waiting request every few hundred milliseconds. A request that was not
+// reported for this long no longer counts as waiting.
 constexpr Micros kWaitingTimeout = 1'000'000;
 
 double Decay(Micros elapsed, double time_constant_s) {
@@ -25,7 +25,7 @@
 
 void DemandTracker::Accumulate(Entry& entry, const ModelDemand& demand, Micros now) {
   const Micros elapsed = now - entry.updated_at;
-  const double decay = Decay(elapsed, kTimeConstantS);
+  const double decay = Decay(elapsed, kFastTimeConstantS);
   entry.requests = entry.requests * decay + demand.requests;
   entry.steady_requests = entry.steady_requests * Decay(elapsed, kSteadyTimeConstantS) + demand.requests;
   entry.tokens = entry.tokens * decay + demand.tokens;
@@ -54,14 +54,14 @@
   const Entry* entry = Find(service, name);
   if (entry == nullptr) return {};
   const Micros elapsed = now - entry->updated_at;
-  const double per_second = Decay(elapsed, kTimeConstantS) / kTimeConstantS;
+  const double fast_rate_factor = Decay(elapsed, kFastTimeConstantS) / kFastTimeConstantS;
   const double steady_requests_per_second =
       entry->steady_requests * Decay(elapsed, kSteadyTimeConstantS) / kSteadyTimeConstantS;
-  return {entry->requests * per_second, steady_requests_per_second, entry->tokens * per_second,
+  return {entry->requests * fast_rate_factor, steady_requests_per_second, entry->tokens * fast_rate_factor,
           entry->last_request_at};
 }
 
-std::vector<std::string> DemandTracker::Waiting(const std::string& service, Micros now) const {
+std::vector<std::string> DemandTracker::WaitingNames(const std::string& service, Micros now) const {
   const auto entries = entries_.find(service);
   if (entries == entries_.end()) return {};
   std::vector<std::pair<Micros, std::string>> waiting;
--- a/src/control/placement/demand_tracker.hpp
+++ b/src/control/placement/demand_tracker.hpp
@@ -1,5 +1,5 @@
-// Tracks how often each model and each adapter is requested, and which of them requests wait for.
-// A core: it holds no clock, socket, file or thread.
+// Tracks the request rate of each model and adapter, and which of them requests are waiting for.
+// Does no I/O, reads no clock and starts no threads.
 #ifndef VIOLETWING_CONTROL_PLACEMENT_DEMAND_TRACKER_HPP_
 #define VIOLETWING_CONTROL_PLACEMENT_DEMAND_TRACKER_HPP_
 
@@ -14,23 +14,24 @@
 
 /// Recent demand for a model or an adapter, as exponentially decaying averages.
 struct DemandStats {
-  double requests_per_second = 0;         // over the last 1.5 s or so
-  double steady_requests_per_second = 0;  // over the last 15 s or so
-  double tokens_per_second = 0;           // over the last 1.5 s or so, in prefilled tokens
-  Micros last_request_at = 0;             // time of the last demand report; 0 if there was none
+  double requests_per_second = 0;         // over about the last 1.5 s
+  double steady_requests_per_second = 0;  // over about the last 15 s
+  double tokens_per_second = 0;           // prefilled tokens, over about the last 1.5 s
+  Micros last_request_at = 0;             // time of the latest demand report; 0 if there was none
 };
 
-/// Collects the demand reports of the sidecars. Names of weights are "model" or "model/adapter"
-/// (weights_name.hpp).
+/// Aggregates the demand reports of the sidecars. A name of weights is "model" or "model/adapter"
+/// (weights_name.hpp). Times are in microseconds of one steady clock.
 class DemandTracker {
  public:
-  /// Adds a report. A report on an adapter counts for its model too.
+  /// Adds a report. Demand for an adapter also counts as demand for its model.
   void Record(const ModelDemand& demand, Micros now);
-  /// The demand for `name` in a service; zeros if it was never requested.
+  /// Returns the demand for `name` in a service; zeros if it was never requested.
   DemandStats Get(const std::string& service, const std::string& name, Micros now) const;
-  /// The names that requests in a service wait for, the longest waiting first.
-  std::vector<std::string> Waiting(const std::string& service, Micros now) const;
-  /// The weights are loaded: nobody waits for them until the next report says so.
+  /// Returns the names that requests in a service are waiting for, in the order in which the waiting began.
+  std::vector<std::string> WaitingNames(const std::string& service, Micros now) const;
+  /// Records that the weights were loaded: requests no longer count as waiting for them until the next
+  /// report.
   void OnLoaded(const std::string& service, const std::string& name);
 
  private:
@@ -41,7 +42,7 @@
     double tokens = 0;
     Micros updated_at = 0;
     Micros last_request_at = 0;
-    Micros last_waiting_at = 0;  // of the last report of a waiting request; 0 for none
+    Micros last_waiting_at = 0;  // time of the latest report of a waiting request; 0 if there is none
     Micros waiting_since = 0;
   };
   static void Accumulate(Entry& entry, const ModelDemand& demand, Micros now);
--- a/src/control/placement/placement_state.cpp
+++ b/src/control/placement/placement_state.cpp
@@ -9,20 +9,25 @@
 
 using Kind = PlacementCall::Kind;
 
-// Sidecars learn within this time that a model is about to be unloaded.
+// Delay between publishing that a model is about to be unloaded and sending the unload order: sidecars learn
+// of the change within this time.
 constexpr Micros kUnloadNotice = 130'000;
-// An accepted order is polled by sending it again. Interval after a poll that met another order.
+// An accepted order is polled by sending it again. This is the poll interval while the server answers that
+// another order is in progress.
 constexpr Micros kConflictPollInterval = 120'000;
-// A load is polled when it should be done, with this margin.
+// A load is polled once it should be done: after its expected duration times this margin, plus a fixed delay.
 constexpr double kLoadTimeMargin = 1.02;
 constexpr Micros kLoadPollDelay = 10'000;
-// An unload waits for the requests that run on the model: first poll interval, which doubles with each poll
-// up to a limit.
+// An unload waits for the requests that are running on the model. Its poll interval starts at this value and
+// doubles with each poll, for a limited number of times.
 constexpr Micros kFirstUnloadPollInterval = 60'000;
 constexpr int kMaxUnloadPollDoublings = 3;
-// A report is some hundred ms old: one after an order is of use after this time only.
+// Delay of a report request after an order, or after a report of a server that is still busy. A report is a
+// few hundred milliseconds old, so an earlier one would not reflect the order yet.
 constexpr Micros kReportInterval = 250'000;
+// Interval between report requests to a server that does not answer.
 constexpr Micros kUnresponsiveReportInterval = 1'000'000;
+// An order that is not done within this time is abandoned, and the server is asked for its report.
 constexpr Micros kOrderTimeout = 12'000'000;
 
 bool IsReady(const InstanceTable::Record* record) {
@@ -82,7 +87,8 @@
     if (server.in_flight && server.in_flight->next_send_at > 0 && now >= server.in_flight->next_send_at) {
       server.in_flight->next_send_at = 0;
       calls.push_back(server.in_flight->call);
-      // A poll asks whether the order is done, whatever other orders the server has accepted since.
+      // A poll only asks whether the order is done. It carries no precondition on the server's revision, as
+      // the server may have accepted other orders since.
       calls.back().if_revision = server.in_flight->accepted ? std::nullopt : server.revision;
     }
     if (!server.in_flight && !server.revision && server.next_report_at > 0 && now >= server.next_report_at) {
@@ -145,7 +151,8 @@
   } else if (status == OrderStatus::kConflict && order.accepted) {
     order.next_send_at = now + kConflictPollInterval;
   } else {
-    // Another order is in progress, was accepted before, or this one may have been: only a report tells.
+    // The server has accepted an order that is unknown here, or the outcome of this one is unknown. Only a
+    // report can resolve that.
     RequestReport(server, now + kReportInterval);
   }
   return std::nullopt;
--- a/src/control/placement/placement_state.hpp
+++ b/src/control/placement/placement_state.hpp
@@ -1,8 +1,8 @@
-// What each model server holds, as far as the placer knows it for certain, and the order that each carries
-// out. The placer learns it from a server's report at the start of its term and from its own orders since. An
-// order names the number of orders that the placer knows of (`if_revision`); a server that has accepted
-// others refuses it and is asked for a report again (PROTOCOL.md, "Servers").
-// A core: it holds no clock, socket, file or thread.
+// The state of each model server as confirmed to the placer: the models that it holds and the order that it
+// is executing. The placer learns the state from a server's report at the start of its term, and then tracks
+// it by its own orders. An order names the number of orders that the placer knows of (`if_revision`). A
+// server that has accepted other orders rejects it and is asked for a new report (PROTOCOL.md, "Servers").
+// Does no I/O, reads no clock and starts no threads.
 #ifndef VIOLETWING_CONTROL_PLACEMENT_PLACEMENT_STATE_HPP_
 #define VIOLETWING_CONTROL_PLACEMENT_PLACEMENT_STATE_HPP_
 
@@ -26,39 +26,40 @@
   std::string adapter;  // empty for the model itself
 };
 
-/// The state table of the placer: one `ServerPlacement` per ready server of the services that run models. At
-/// most one order is in flight per server.
+/// The placer's state table: one `ServerPlacement` for each ready server of the services that run models. At
+/// most one order is in flight per server. Times are in microseconds of one steady clock. Not thread-safe.
 class PlacementState {
  public:
-  /// Forgets all servers, as a new placer does.
+  /// Removes all servers, as required at the start of a placer's term.
   void Clear() { servers_.clear(); }
-  /// Adds servers that have become ready, drops those that no longer are, and gives up orders that have
-  /// expired.
+  /// Adds servers that have become ready, removes those that are no longer ready, and abandons expired
+  /// orders.
   void ReconcileServers(const configuration::Configuration& configuration, const InstanceTable& table,
                         Micros now);
-  /// Sets in `table` which models the servers hold.
+  /// Writes the models that each server holds to `table`.
   void Publish(InstanceTable& table) const;
 
-  /// The calls to make now. Each is returned once, and again only when it has to be repeated.
+  /// Returns the calls that are due. A call is returned again only when it has to be repeated.
   std::vector<PlacementCall> TakeDueCalls(Micros now);
-  /// When the next call is due; empty if none is.
+  /// Returns the time at which the next call is due; empty if no call is scheduled.
   std::optional<Micros> NextDueAt() const;
 
-  /// Orders a load. `instance` is known and idle, and the weights fit into its free memory.
+  /// Starts an order to load weights. `instance` must be known and idle, and the weights must fit into its
+  /// free memory.
   void StartLoad(const std::string& instance, const LoadRequest& load, Micros now);
-  /// Orders an unload, to be followed by the load `next`. The weights are removed from the published models
-  /// at once, and the order is sent once sidecars have had time to learn of that.
+  /// Starts an order to unload weights, followed by the load `next`. The weights are removed from the
+  /// published models at once; the order is sent after a delay in which sidecars learn of the removal.
   void StartUnload(const std::string& instance, const std::string& model, const std::string& adapter,
                    const LoadRequest& next, Micros now);
 
-  /// Handles the answer to `call`, an order. Returns the weights if their load is done.
+  /// Handles the answer to `call`, which is an order. Returns the loaded weights if it completes a load.
   std::optional<LoadedModel> OnOrderAnswered(const PlacementCall& call, OrderStatus status, Micros now);
-  /// Handles a server's report; empty if the server did not answer.
+  /// Handles a server's report; `report` is empty if the server did not answer.
   void OnReport(const std::string& instance, const std::optional<ServerReport>& report, Micros now);
 
-  /// By instance id.
+  /// Returns the servers by instance id.
   const std::map<std::string, ServerPlacement>& servers() const { return servers_; }
-  /// Whether an order in flight loads these weights on a server of the service.
+  /// Whether an order in flight loads these weights on some server of the service.
   bool IsLoading(const std::string& service, const std::string& model, const std::string& adapter) const;
   /// Number of models (not adapters) being loaded, including loads that follow an unload.
   int ModelLoadsInFlight() const;
--- a/src/control/placement/placer.cpp
+++ b/src/control/placement/placer.cpp
@@ -8,33 +8,35 @@
 namespace violetwing {
 namespace {
 
-// Burst of loads from the weight store. The ceiling allows 10% and three loads above the rate (RULES.md,
-// "Model servers").
+// Maximum burst of loads from the weight store. The limit allows 10% and three loads above the configured
+// rate (RULES.md, "Model servers").
 constexpr double kStoreLoadBurst = 3;
-// Rate of loads from the weight store if the configuration gives none.
+// Rate of loads from the weight store if the configuration does not set one.
 constexpr double kDefaultStoreLoadsPerSecond = 1;
-// An adapter arrives within some milliseconds.
+// Expected duration of an adapter load, in seconds: an adapter is transferred within milliseconds.
 constexpr double kAdapterLoadS = 0.025;
-// Time of a load from the server's own disk, as a share of the time of one from the weight store.
-constexpr double kLocalDiskTimeShare = 0.22;
-// A model is evicted for a replica of another one only if the gain is this many times the cost.
+// Duration of a load from the server's local disk, as a fraction of one from the weight store.
+constexpr double kLocalDiskTimeFraction = 0.22;
+// A model is evicted in favor of an additional replica only if the gain is at least this many times the cost.
 constexpr double kMinGainPerCost = 1.5;
-// Models whose replicas have this many times the mean load of a server get replicas before those that single
-// requests wait for: all of their requests are late.
+// Models whose replicas have at least this many times the mean load of a server get replicas before models
+// that single requests are waiting for, because all requests to an overloaded model are late.
 constexpr double kOverloadedRelativeLoad = 1.3;
-// Models that requests wait for are loaded in the order of their first request, except that those with at
-// least this many requests per second go first: after a time without a placer, more wait than can be loaded
-// at once.
+// Models that requests are waiting for are loaded in the order of their first request, but those with at
+// least this many requests per second come first: after a period without a placer, more models are waiting
+// than can be loaded at once.
 constexpr double kHighDemandRequestsPerSecond = 1.5;
-// Cost of loading a model at a server with the mean load, in requests per second; in proportion to the load.
+// Cost of loading a model on a server with the mean load, in requests per second. The cost is proportional to
+// the server's load.
 constexpr double kServerLoadCost = 0.1;
-// Cost of a load from the weight store beyond one from the server's own disk, in requests per second.
+// Additional cost of a load from the weight store over one from the server's local disk, in requests per
+// second.
 constexpr double kStoreLoadCost = 0.05;
-// Share of a model's value that is lost while an unload waits for running requests: 2 to 3 s of the 5 s or so
-// that the server lacks the evicted model.
-constexpr double kDrainValueShare = 0.5;
+// Fraction of a model's value that is lost while an unload waits for running requests: this takes 2 to 3 s of
+// the roughly 5 s for which the server does not hold the evicted model.
+constexpr double kDrainValueFraction = 0.5;
 
-// The weight store is shared by all services: the highest rate configured.
+// The weight store is shared by all services, so the highest configured rate applies.
 double StoreLoadsPerSecond(const configuration::Configuration& configuration) {
   double rate = 0;
   for (const configuration::Backend& backend : configuration.backends)
@@ -46,7 +48,7 @@
 
 Placer::Placer() : store_loads_(kStoreLoadBurst) {}
 
-void Placer::Begin(Micros now) {
+void Placer::BeginTerm(Micros now) {
   state_.Clear();
   store_loads_.Reset(now);
 }
@@ -59,7 +61,7 @@
     if (backend.runtime == nullptr) continue;
     ServiceView service(backend, state_, demand_, now);
     AddReplicas(service, kOverloadedRelativeLoad, now);
-    LoadWaiting(service, now);
+    LoadAwaitedWeights(service, now);
     AddReplicas(service, 0, now);
   }
   state_.Publish(table);
@@ -71,10 +73,10 @@
     demand_.OnLoaded(loaded->service, WeightsName(loaded->model, loaded->adapter));
 }
 
-// ---- Which models to load ----
+// ---- Choice of models ----
 
-void Placer::LoadWaiting(ServiceView& service, Micros now) {
-  std::vector<std::string> waiting = demand_.Waiting(service.name(), now);
+void Placer::LoadAwaitedWeights(ServiceView& service, Micros now) {
+  std::vector<std::string> waiting = demand_.WaitingNames(service.name(), now);
   std::stable_partition(waiting.begin(), waiting.end(), [&](const std::string& name) {
     return demand_.Get(service.name(), name, now).requests_per_second >= kHighDemandRequestsPerSecond;
   });
@@ -89,22 +91,22 @@
 }
 
 void Placer::AddReplicas(ServiceView& service, double min_relative_load, Micros now) {
-  const auto lacks_replicas = [&](const ServiceView::Model& model) {
+  const auto needs_replicas = [&](const ServiceView::Model& model) {
     return model.replicas > 0 && model.replicas < model.target_replicas &&
            service.RelativeReplicaLoad(model) >= min_relative_load;
   };
   std::vector<ServiceView::Model*> models;
   for (ServiceView::Model& model : service.models())
-    if (lacks_replicas(model)) models.push_back(&model);
+    if (needs_replicas(model)) models.push_back(&model);
   std::sort(models.begin(), models.end(), [&](const auto* a, const auto* b) {
     return service.RelativeReplicaLoad(*a) > service.RelativeReplicaLoad(*b);
   });
   for (ServiceView::Model* model : models)
-    while (lacks_replicas(*model))
+    while (needs_replicas(*model))
       if (!LoadModel(service, *model, LoadReason::kMoreReplicas, now)) break;
 }
 
-// ---- Where to load a model ----
+// ---- Choice of a server ----
 
 bool Placer::LoadModel(ServiceView& service, ServiceView::Model& model, LoadReason reason, Micros now) {
   const bool requests_wait = reason == LoadReason::kRequestsWaiting;
@@ -112,8 +114,9 @@
   const double value = requests_wait ? std::max(gain, model.demand.requests_per_second) : gain;
   const std::optional<PlacementOption> option = CheapestOption(service, model, value);
   if (!option) return false;
-  const bool pays = !option->eviction || gain >= kMinGainPerCost * option->eviction->eviction_cost;
-  if (!requests_wait && !pays) return false;
+  const bool gain_justifies_cost =
+      !option->eviction || gain >= kMinGainPerCost * option->eviction->eviction_cost;
+  if (!requests_wait && !gain_justifies_cost) return false;
   StartModelLoad(service, model, *option, now);
   return true;
 }
@@ -121,8 +124,8 @@
 void Placer::StartModelLoad(ServiceView& service, ServiceView::Model& model, const PlacementOption& option,
                             Micros now) {
   if (!option.on_local_disk) store_loads_.Take();
-  const double time_share = option.on_local_disk ? kLocalDiskTimeShare : 1.0;
-  const LoadRequest load{model.spec->name, {}, model.spec->load_time_s * time_share};
+  const double time_fraction = option.on_local_disk ? kLocalDiskTimeFraction : 1.0;
+  const LoadRequest load{model.spec->name, {}, model.spec->load_time_s * time_fraction};
   ServiceView::Server& server = *option.server;
   if (option.eviction) {
     ServiceView::Model& evicted = service.models()[option.eviction->model];
@@ -157,7 +160,7 @@
   option.on_local_disk = server.state->previously_held.count(name) > 0;
   if (!option.on_local_disk && !store_load_allowed) return std::nullopt;
   if (server.free_mb < model.spec->weights_mb) {
-    option.eviction = service.CheapestEviction(server, kDrainValueShare * value);
+    option.eviction = service.CheapestEviction(server, kDrainValueFraction * value);
     if (!option.eviction) return std::nullopt;
     const double freed_mb = service.models()[option.eviction->model].spec->weights_mb;
     if (server.free_mb + freed_mb < model.spec->weights_mb) return std::nullopt;
@@ -183,7 +186,7 @@
   if (state_.IsLoading(service.name(), name, adapter)) return;
   const auto max_adapters = static_cast<std::size_t>(std::max(service.runtime().max_adapters, 0));
   if (max_adapters == 0) return;
-  ServiceView::Server* best = nullptr;  // the one with the fewest adapters
+  ServiceView::Server* best = nullptr;  // the candidate with the fewest adapters
   for (ServiceView::Server& server : service.servers()) {
     if (!server.state->Idle() || !server.state->Holds(name)) continue;
     if (best == nullptr || server.state->AdapterCount() < best->state->AdapterCount()) best = &server;
--- a/src/control/placement/placer_role.cpp
+++ b/src/control/placement/placer_role.cpp
@@ -3,8 +3,8 @@
 namespace violetwing {
 namespace {
 
-// The least time between two plans, for each model and each server: what a plan costs grows with both, and
-// demand is reported and orders are answered hundreds of times a second. 30 us.
+// Minimum interval between two plans, per model and server: 30 us. The cost of a plan grows with the number
+// of both, and demand reports and answers to orders arrive hundreds of times per second.
 constexpr Micros kPlanIntervalPerItem = 30;
 
 Micros PlanInterval(const configuration::Configuration& configuration, const InstanceTable& table) {
@@ -23,9 +23,9 @@
 void PlacerRole::Tick(duties::FencingToken token, const configuration::State& configuration,
                       InstanceTable& table, Micros now) {
   if (configuration.current() == nullptr) return;
-  // Under another token others may have ordered meanwhile.
+  // If the token has changed, another holder of the lease may have sent orders in the meantime.
   if (std::exchange(token_, token) != token) {
-    placer_.Begin(now);
+    placer_.BeginTerm(now);
     next_plan_at_ = now;
   }
   if (now < next_plan_at_) return Send(placer_.TakeDueCalls(now));
--- a/src/control/placement/placer_role.hpp
+++ b/src/control/placement/placer_role.hpp
@@ -1,5 +1,5 @@
-// Runs the placer of this process while it holds the lease of the placement duty (RULES.md, "Model servers",
-// ONE). A core: it holds no clock, socket, file or thread.
+// Runs the placer in this process while it holds the lease of the placement duty (RULES.md, "Model servers",
+// ONE). Does no I/O, reads no clock and starts no threads.
 #ifndef VIOLETWING_CONTROL_PLACEMENT_PLACER_ROLE_HPP_
 #define VIOLETWING_CONTROL_PLACEMENT_PLACER_ROLE_HPP_
 
@@ -16,31 +16,34 @@
 
 namespace violetwing {
 
-/// Starts a `Placer` anew with each token that this process is granted. Not thread-safe.
+/// Starts a new term of the `Placer` for each fencing token that this process is granted. Times are in
+/// microseconds of one steady clock. Not thread-safe.
 class PlacerRole {
  public:
-  /// Where calls to servers go.
+  /// Callbacks that send calls to servers.
   struct Outputs {
     std::function<void(const PlacementCall&, duties::FencingToken)> send_order;
     std::function<void(const PlacementCall&)> request_report;
   };
 
-  /// A role without a lease yet.
+  /// Creates a role that holds no lease.
   explicit PlacerRole(Outputs outputs) : outputs_(std::move(outputs)) {}
 
-  /// Adds sidecars' reports on the demand for models.
+  /// Records sidecars' reports on the demand for models.
   void RecordDemand(const std::vector<ModelDemand>& demand, Micros now);
-  /// Plans, unless it has planned so lately that plans would take most of the process's time, and makes the
-  /// calls that are due. To be called only while this process holds the lease under `token`.
+  /// Makes the calls that are due. Plans first, unless the minimum interval since the last plan has not
+  /// passed; otherwise planning could take most of the process's time. Must be called only while this process
+  /// holds the lease under `token`.
   void Tick(duties::FencingToken token, const configuration::State& configuration, InstanceTable& table,
             Micros now);
-  /// When the next call is due, as far as this process still holds the lease; empty if none is.
+  /// Returns the time at which the next call is due, provided that this process still holds the lease; empty
+  /// if no call is scheduled.
   std::optional<Micros> NextDueAt() const { return token_ == 0 ? std::nullopt : placer_.NextDueAt(); }
-  /// Handles the answer to an order: its HTTP status, 0 for no answer.
+  /// Handles the answer to an order. `http_status` is 0 if there was no answer.
   void OnOrderAnswered(const PlacementCall& call, int http_status, Micros now) {
     placer_.OnOrderAnswered(call, OrderStatusOf(http_status), now);
   }
-  /// Handles a server's report; empty if the server did not answer.
+  /// Handles a server's report; `report` is empty if the server did not answer.
   void OnReport(const std::string& instance, const std::optional<ServerReport>& report, Micros now) {
     placer_.OnReport(instance, report, now);
   }
@@ -51,8 +54,8 @@
 
   const Outputs outputs_;
   Placer placer_;
-  Micros next_plan_at_ = 0;         // not before
-  duties::FencingToken token_ = 0;  // under which the placer has begun; 0: none
+  Micros next_plan_at_ = 0;         // earliest time of the next plan
+  duties::FencingToken token_ = 0;  // token of the placer's current term; 0 if there is none
 };
 
 }  // namespace violetwing
--- a/src/control/placement/server_placement.cpp
+++ b/src/control/placement/server_placement.cpp
@@ -7,8 +7,8 @@
 
 using Kind = PlacementCall::Kind;
 
-// Requests that waited for a model have started on it within this time after the load.
-constexpr Micros kServeWaitingTime = 2'000'000;
+// Requests that were waiting for a model start running on it within this time after the load.
+constexpr Micros kJustLoadedPeriod = 2'000'000;
 
 }  // namespace
 
@@ -27,7 +27,7 @@
 
 bool ServerPlacement::JustLoaded(const std::string& model, Micros now) const {
   const auto it = loaded_at.find(model);
-  return it != loaded_at.end() && now - it->second < kServeWaitingTime;
+  return it != loaded_at.end() && now - it->second < kJustLoadedPeriod;
 }
 
 std::size_t ServerPlacement::AdapterCount() const {
@@ -38,14 +38,14 @@
 
 void ServerPlacement::SetHeld(const std::string& model, const std::string& adapter, bool held) {
   if (adapter.empty()) {
-    std::erase_if(models, [&](const HeldModel& one) { return one.name == model; });
+    std::erase_if(models, [&](const HeldModel& held_model) { return held_model.name == model; });
     if (held) models.push_back({model, 0, {}});
     return;
   }
-  for (HeldModel& one : models) {
-    if (one.name != model) continue;
-    std::erase(one.adapters, adapter);
-    if (held) one.adapters.push_back(adapter);
+  for (HeldModel& held_model : models) {
+    if (held_model.name != model) continue;
+    std::erase(held_model.adapters, adapter);
+    if (held) held_model.adapters.push_back(adapter);
   }
 }
 
--- a/src/control/placement/service_view.cpp
+++ b/src/control/placement/service_view.cpp
@@ -7,23 +7,23 @@
 namespace violetwing {
 namespace {
 
-// Losing the last replica of a model requested just now costs as much as that of one requested once per this
-// time, in seconds.
-constexpr double kRecentRequestS = 6;
+// Evicting the last replica of a model that was requested just now costs as much as evicting one that is
+// requested once per this many seconds.
+constexpr double kRecentRequestIntervalS = 6;
 // Idle time assumed for a model that was never requested, in seconds.
 constexpr double kNeverRequestedIdleS = 1e3;
-// Replicas beyond the target that count as used: the target varies by one from moment to moment.
+// Number of replicas beyond the target that still count as used, because the target fluctuates by one.
 constexpr int kSpareReplicas = 1;
-// Share of a replica's requests that are late after its loss while other replicas serve them.
-constexpr double kLateShare = 0.15;
-// Eviction cost of all the replicas of a model together that are not used, and at least of one that is, in
-// requests per second.
+// Fraction of a replica's requests that are late when other replicas have to serve them after its eviction.
+constexpr double kLateFraction = 0.15;
+// Eviction cost of all unused replicas of a model together, and minimum eviction cost of a replica that is
+// used, in requests per second.
 constexpr double kUnusedReplicaCost = 0.01;
 constexpr double kMinUsedReplicaCost = 0.02;
-// Mean duration of a request, in seconds; most are streams.
+// Mean duration of a request, in seconds. Most requests are streams.
 constexpr double kMeanRequestS = 1.5;
-// Requests per second below which a further replica would stand idle.
-constexpr double kMinRequestsPerReplica = 0.5;
+// An additional replica that would serve fewer requests per second than this would be idle.
+constexpr double kMinReplicaRequestsPerSecond = 0.5;
 
 }  // namespace
 
@@ -80,25 +80,25 @@
   if (Model* model = Find(name)) ++model->replicas;
 }
 
-// A server's models share its time: load is even if a model's share of the replicas is its share of the
-// tokens.
+// The models of a server share its compute time. The load is balanced if each model's share of the replicas
+// equals its share of the tokens.
 void ServiceView::SetTargetReplicas() {
-  double all_tokens = 0;
-  for (const Model& model : models_) all_tokens += model.demand.tokens_per_second;
-  if (all_tokens <= 0) return;
+  double total_tokens_per_second = 0;
+  for (const Model& model : models_) total_tokens_per_second += model.demand.tokens_per_second;
+  if (total_tokens_per_second <= 0) return;
   for (Model& model : models_) {
-    const double share = model.demand.tokens_per_second / all_tokens;
-    const auto even = std::lround(share * static_cast<double>(servers_.size()));
-    const auto busy = static_cast<long>(model.demand.requests_per_second / kMinRequestsPerReplica);
-    model.target_replicas = static_cast<int>(std::min(even, std::max(1L, busy)));
+    const double share = model.demand.tokens_per_second / total_tokens_per_second;
+    const auto balanced = std::lround(share * static_cast<double>(servers_.size()));
+    const auto max_busy = static_cast<long>(model.demand.requests_per_second / kMinReplicaRequestsPerSecond);
+    model.target_replicas = static_cast<int>(std::min(balanced, std::max(1L, max_busy)));
   }
 }
 
 void ServiceView::SetMeanTokensPerSecond() {
-  double all_tokens = 0;
-  for (const Server& server : servers_) all_tokens += TokensPerSecond(server);
+  double total_tokens_per_second = 0;
+  for (const Server& server : servers_) total_tokens_per_second += TokensPerSecond(server);
   if (!servers_.empty())
-    mean_tokens_per_second_ = std::max(1.0, all_tokens / static_cast<double>(servers_.size()));
+    mean_tokens_per_second_ = std::max(1.0, total_tokens_per_second / static_cast<double>(servers_.size()));
 }
 
 ServiceView::Model* ServiceView::Find(std::string_view name) {
@@ -106,27 +106,27 @@
   return it == model_index_.end() ? nullptr : &models_[it->second];
 }
 
-// Without one of several replicas, the others take over its load; without the last one, all requests for the
-// model fail.
+// If one of several replicas is evicted, the others take over its load. If the last one is evicted, all
+// requests for the model fail.
 double ServiceView::EvictionCost(const Model& model) const {
   const int replicas = std::max(model.replicas, 1);
   const DemandStats& demand = model.demand;
   if (replicas > 1) {
     if (replicas > std::max(model.target_replicas + kSpareReplicas, 1)) return kUnusedReplicaCost / replicas;
-    return std::max(kLateShare * demand.requests_per_second / replicas, kMinUsedReplicaCost);
+    return std::max(kLateFraction * demand.requests_per_second / replicas, kMinUsedReplicaCost);
   }
   const double idle_s = demand.last_request_at == 0
                             ? kNeverRequestedIdleS
                             : static_cast<double>(now_ - demand.last_request_at) / 1e6;
   const double requests_per_second = std::max(demand.requests_per_second, demand.steady_requests_per_second);
-  return requests_per_second + 1 / (kRecentRequestS + idle_s);
+  return requests_per_second + 1 / (kRecentRequestIntervalS + idle_s);
 }
 
 double ServiceView::ReplicaGain(const Model& model) {
-  return kLateShare * model.demand.requests_per_second / std::max(model.replicas, 1);
+  return kLateFraction * model.demand.requests_per_second / std::max(model.replicas, 1);
 }
 
-// The probability that a request runs on a replica.
+// Returns the probability that a replica is running a request.
 double ServiceView::BusyProbability(const Model& model) {
   return std::min(1.0, model.demand.requests_per_second / std::max(model.replicas, 1) * kMeanRequestS);
 }
--- a/src/control/placement/service_view.hpp
+++ b/src/control/placement/service_view.hpp
@@ -1,5 +1,5 @@
-// One service as the placer sees it at one moment: its models with their demand and replicas, and its servers
-// with the models they hold. A core: it holds no clock, socket, file or thread.
+// A snapshot of one service for the placer: its models with their demand and replicas, and its servers with
+// the models they hold. Does no I/O, reads no clock and starts no threads.
 #ifndef VIOLETWING_CONTROL_PLACEMENT_SERVICE_VIEW_HPP_
 #define VIOLETWING_CONTROL_PLACEMENT_SERVICE_VIEW_HPP_
 
@@ -17,32 +17,32 @@
 
 namespace violetwing {
 
-/// Built once per plan, so that the cost of a plan grows with models plus servers and not with their product.
-/// The configuration, the placement state and their contents must outlive it. Costs and gains are in requests
-/// per second that are late or fail.
+/// Built once per plan, so that the cost of a plan grows with the sum of models and servers and not with
+/// their product. The configuration and the placement state must outlive the view. Costs and gains are the
+/// number of requests per second that are late or fail.
 class ServiceView {
  public:
   /// A model of the service.
   struct Model {
     const configuration::Model* spec = nullptr;
     DemandStats demand;
-    int replicas = 0;         // held or being loaded
-    int target_replicas = 0;  // by its share of the service's tokens
+    int replicas = 0;         // loaded or being loaded
+    int target_replicas = 0;  // derived from its share of the service's tokens
   };
   /// A server of the service.
   struct Server {
     const std::string* id = nullptr;
     const ServerPlacement* state = nullptr;
-    std::vector<std::size_t> models;  // held, as indexes into `models()`
-    double free_mb = 0;               // memory for weights that is left
+    std::vector<std::size_t> models;  // models that it holds, as indexes into `models()`
+    double free_mb = 0;               // memory for weights that is not in use
   };
-  /// A model that might be unloaded from a server.
+  /// A model that could be unloaded from a server.
   struct EvictionCandidate {
     std::size_t model = 0;  // index into `models()`
     double eviction_cost = 0;
-    double drain_cost = 0;  // of waiting until the requests that run on it have ended
+    double drain_cost = 0;  // cost of waiting until the requests running on it have ended
 
-    /// Cost of the eviction and of waiting for it.
+    /// Cost of the eviction, including the wait for running requests.
     double TotalCost() const { return eviction_cost + drain_cost; }
   };
 
@@ -56,23 +56,23 @@
   std::vector<Server>& servers() { return servers_; }
   /// Null if the service has no such model.
   Model* Find(std::string_view name);
-  /// What the configuration says of the service.
+  /// The runtime settings of the service.
   const configuration::Runtime& runtime() const { return *backend_.runtime; }
   const std::string& name() const { return backend_.name; }
 
-  /// The cost of unloading one replica.
+  /// Returns the cost of unloading one replica.
   double EvictionCost(const Model& model) const;
-  /// The gain from one replica more.
+  /// Returns the gain from one additional replica.
   static double ReplicaGain(const Model& model);
-  /// The model that is cheapest to unload from a server; empty if it has none that may go. `drain_cost` is
-  /// the cost of waiting for the end of running requests, where a model has any.
+  /// Returns the model that is cheapest to unload from a server; empty if no model of the server may be
+  /// unloaded. `drain_cost` is the cost of waiting for running requests if the model has any.
   std::optional<EvictionCandidate> CheapestEviction(const Server& server, double drain_cost) const;
 
-  /// Tokens per second that fall to a server.
+  /// Returns the expected load of a server, in tokens per second.
   double TokensPerSecond(const Server& server) const;
-  /// Mean of that over the service's servers; at least 1.
+  /// Mean load of the service's servers, in tokens per second; at least 1.
   double MeanTokensPerSecond() const { return mean_tokens_per_second_; }
-  /// Tokens per second of each replica of a model, relative to the mean of the servers.
+  /// Returns the load of each replica of a model, relative to the mean load of a server.
   double RelativeReplicaLoad(const Model& model) const;
 
  private:
--- a/tests/control/placement/demand_tracker_test.cpp
+++ b/tests/control/placement/demand_tracker_test.cpp
@@ -1,4 +1,4 @@
-// Averages of the demand for models, and the order of those that requests wait for.
+// Averages of the demand for models, and the order of the models that requests are waiting for.
 #include "control/placement/demand_tracker.hpp"
 
 #include <catch2/catch.hpp>
@@ -11,7 +11,7 @@
 constexpr Micros kSecond = 1'000'000;
 using Names = std::vector<std::string>;
 
-TEST_CASE("A demand average decays, the steady one more slowly") {
+TEST_CASE("Demand averages decay, the steady average more slowly") {
   DemandTracker demand;
   demand.Record({"llm", "m", 6, 600, 0}, 10 * kSecond);
   const DemandStats first = demand.Get("llm", "m", 10 * kSecond);
@@ -24,7 +24,7 @@
   CHECK(later.last_request_at == 10 * kSecond);
 }
 
-TEST_CASE("Demand for an adapter counts for its model, and a name never requested has none") {
+TEST_CASE("Demand for an adapter counts for its model, and a name that was never requested has no demand") {
   DemandTracker demand;
   demand.Record({"llm", WeightsName("m", "a1"), 3, 300, 0}, kSecond);
   CHECK(demand.Get("llm", "m", kSecond).requests_per_second == Approx(2));
@@ -33,16 +33,17 @@
   CHECK(demand.Get("other", "m", kSecond).last_request_at == 0);
 }
 
-TEST_CASE("Waiting names are listed longest waiting first, until loaded or reported no more") {
+TEST_CASE(
+    "Names are listed as waiting, the longest waiting first, until they are loaded or no longer reported") {
   DemandTracker demand;
   demand.Record({"llm", "m2", 1, 10, 1}, 10 * kSecond);
   demand.Record({"llm", "m1", 1, 10, 1}, 10 * kSecond + 1);
   demand.Record({"llm", "m2", 0, 0, 1}, 10 * kSecond + kSecond / 2);
-  CHECK(demand.Waiting("llm", 10 * kSecond + kSecond / 2) == Names{"m2", "m1"});
-  CHECK(demand.Waiting("llm", 11 * kSecond + 1) == Names{"m2"});
+  CHECK(demand.WaitingNames("llm", 10 * kSecond + kSecond / 2) == Names{"m2", "m1"});
+  CHECK(demand.WaitingNames("llm", 11 * kSecond + 1) == Names{"m2"});
   demand.OnLoaded("llm", "m2");
-  CHECK(demand.Waiting("llm", 11 * kSecond + 1).empty());
-  CHECK(demand.Waiting("other", 11 * kSecond).empty());
+  CHECK(demand.WaitingNames("llm", 11 * kSecond + 1).empty());
+  CHECK(demand.WaitingNames("other", 11 * kSecond).empty());
 }
 
 }  // namespace
--- a/tests/control/placement/placer_role_test.cpp
+++ b/tests/control/placement/placer_role_test.cpp
@@ -1,4 +1,4 @@
-// When a placer's role plans, and when it makes the calls of earlier plans.
+// When the placer role plans, and when it makes the calls of earlier plans.
 #include "control/placement/placer_role.hpp"
 
 #include <catch2/catch.hpp>
@@ -17,7 +17,8 @@
 
 std::string ModelName(int i) { return "m" + std::to_string(i); }
 
-// A service with so many models and servers, under a role that has asked each server for its report.
+// A service with the given number of models and servers, and a placer role that has received each server's
+// report.
 class LargeService {
  public:
   LargeService(int models, int servers) {
@@ -47,9 +48,9 @@
   }
 
   void Tick() { role_.Tick(kToken, configuration_, table_, now); }
-  void RequestWaits(int model) { role_.RecordDemand({{"llm", ModelName(model), 1, 10, 1}}, now); }
-  // The placer asks the server for its report 250 ms later.
-  void LoseLatestOrder() { role_.OnOrderAnswered(orders.back(), 0, now); }
+  void AddWaitingRequest(int model) { role_.RecordDemand({{"llm", ModelName(model), 1, 10, 1}}, now); }
+  // The latest order stays without an answer; the placer requests the server's report 250 ms later.
+  void LoseLatestAnswer() { role_.OnOrderAnswered(orders.back(), 0, now); }
 
   Micros now = 10 * kSecond;
   std::vector<PlacementCall> orders;
@@ -64,11 +65,11 @@
 
 }  // namespace
 
-TEST_CASE("DRAIN: demand that is reported hundreds of times a second does not make a placer plan each time") {
+TEST_CASE("DRAIN: the placer does not plan for each of hundreds of demand reports per second") {
   LargeService service(1200, 320);
-  service.RequestWaits(0);
+  service.AddWaitingRequest(0);
   service.Tick();
-  CHECK(service.orders.empty());  // it has planned within the same moment
+  CHECK(service.orders.empty());  // it has already planned at this time
   service.now += 10'000;
   service.Tick();
   CHECK(service.orders.empty());
@@ -78,13 +79,13 @@
   CHECK(service.orders.back().model == ModelName(0));
 }
 
-TEST_CASE("Between two plans the calls of the earlier one are made when they are due") {
+TEST_CASE("Between two plans, calls of the earlier plan are made when they are due") {
   LargeService service(1200, 320);
   service.now += 50'000;
-  service.RequestWaits(0);
+  service.AddWaitingRequest(0);
   service.Tick();
   REQUIRE(service.orders.size() == 1);
-  service.LoseLatestOrder();
+  service.LoseLatestAnswer();
   service.now += 240'000;
   service.Tick();
   const int before = service.report_requests;
@@ -93,11 +94,11 @@
   CHECK(service.report_requests == before + 1);
 }
 
-TEST_CASE("A service of few models and servers is planned for each request that waits") {
+TEST_CASE("With few models and servers, the placer plans for each waiting request") {
   LargeService service(4, 4);
   for (int model = 0; model < 3; ++model) {
     service.now += 1'000;
-    service.RequestWaits(model);
+    service.AddWaitingRequest(model);
     service.Tick();
     CHECK(service.orders.size() == static_cast<std::size_t>(model) + 1);
   }
--- a/tests/control/placement/placer_test.cpp
+++ b/tests/control/placement/placer_test.cpp
@@ -1,4 +1,4 @@
-// Which orders the placer gives to model servers, and which it must never give.
+// Which orders the placer sends to model servers, and which it must never send.
 #include "control/placement/placer.hpp"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 
 constexpr std::int64_t kSecond = 1'000'000;
 
-// A placer and the servers of one service, which carry out its orders on a virtual clock. Each server has
+// A placer and the servers of one service, which execute its orders on a virtual clock. Each server has
 // memory for two models and two adapters.
 class ServerSimulation {
  public:
@@ -25,11 +25,11 @@
     for (int i = 0; i < 6; ++i) runtime->models.push_back({"m" + std::to_string(i), 100, 1.0, 3, 5});
     configuration_.version = 1;
     configuration_.backends.push_back(Backend{"llm", "/healthz", 100, runtime});
-    for (int i = 0; i < servers; ++i) Add("s" + std::to_string(i));
-    placer_.Begin(now_);
+    for (int i = 0; i < servers; ++i) AddServer("s" + std::to_string(i));
+    placer_.BeginTerm(now_);
   }
 
-  void Add(const std::string& id) {
+  void AddServer(const std::string& id) {
     Server& server = servers_[id];
     server.instance.id = id;
     server.instance.backend = "llm";
@@ -50,7 +50,7 @@
     placer_.RecordDemand({"llm", model, requests, tokens, waiting}, now_);
   }
   std::optional<std::int64_t> NextDueAt() const { return placer_.NextDueAt(); }
-  // Carries out an order of another placer, of which this one learns nothing.
+  // The server accepts an order of another placer, without the knowledge of the placer under test.
   void AcceptForeignOrder(const std::string& id, const std::string& model) {
     ++servers_[id].revision;
     ModelsAt(id).push_back({model, 1, {}});
@@ -58,7 +58,7 @@
   void Run(std::int64_t span) {
     for (const std::int64_t until = now_ + span; now_ < until; now_ += 10'000) Step();
   }
-  void RestartTerm() { placer_.Begin(now_); }
+  void RestartTerm() { placer_.BeginTerm(now_); }
   std::int64_t now() const { return now_; }
   const std::vector<std::int64_t>& loads() const { return loads_; }
   int servers_over_capacity() const { return servers_over_capacity_; }
@@ -69,7 +69,7 @@
     Instance instance;
     std::int64_t revision = 0;
     std::int64_t busy_until = 0;
-    PlacementCall order;  // accepted last
+    PlacementCall order;  // the latest accepted order
   };
 
   void Step() {
@@ -141,7 +141,7 @@
   int servers_over_capacity_ = 0;
 };
 
-// Processor time, in seconds, of ten plans for `size` servers that are full and `size` models that are all in
+// Returns the CPU time, in seconds, of ten plans for `size` full servers and `size` models that are all in
 // demand.
 double PlanSeconds(int size) {
   auto runtime = std::make_shared<Runtime>();
@@ -153,7 +153,7 @@
   Configuration configuration;
   configuration.backends.push_back(Backend{"llm", "/healthz", 100, runtime});
   Placer placer;
-  placer.Begin(kSecond);
+  placer.BeginTerm(kSecond);
   for (int i = 0; i < size; ++i) {
     Instance instance;
     instance.id = "server-" + std::to_string(i);
@@ -165,21 +165,21 @@
   for (const PlacementCall& call : placer.Plan(configuration, table, kSecond))
     placer.OnReport(call.instance, ServerReport{false, 0, table.Find(call.instance)->instance.models},
                     kSecond);
-  const std::clock_t begin = std::clock();
-  // One second apart, so that the rate limit of the weight store lets each plan load a model.
+  const std::clock_t start = std::clock();
+  // The plans are one second apart, so that the rate limit of the weight store allows each to load a model.
   for (int plan = 1; plan <= 10; ++plan) placer.Plan(configuration, table, (1 + plan) * kSecond);
-  return static_cast<double>(std::clock() - begin) / CLOCKS_PER_SEC;
+  return static_cast<double>(std::clock() - start) / CLOCKS_PER_SEC;
 }
 
 }  // namespace
 
-// Ten times the models and servers take some ten times as long. If the cost grew with their product, it would
-// be a hundred times, and the placer would lose its lease while it plans.
-TEST_CASE("The cost of a plan grows with models plus servers, not with their product") {
+// With ten times the models and servers, a plan takes about ten times as long. If the cost grew with their
+// product, a plan would take a hundred times as long, and the placer would lose its lease while planning.
+TEST_CASE("The cost of a plan grows with the sum of models and servers, not with their product") {
   CHECK(PlanSeconds(600) < 40 * PlanSeconds(60));
 }
 
-TEST_CASE("A model that a request waits for is loaded on a server with free memory") {
+TEST_CASE("A model that a request is waiting for is loaded on a server with free memory") {
   ServerSimulation simulation(2);
   simulation.Run(2 * kSecond);
   simulation.ReportDemand("m0", 1, 1000, 1);
@@ -188,7 +188,8 @@
   CHECK(simulation.loads().size() == 1);
 }
 
-TEST_CASE("A model without demand is evicted for one that requests wait for, within the server's capacity") {
+TEST_CASE(
+    "A model without demand is evicted for one that requests are waiting for, within the server's capacity") {
   ServerSimulation simulation(1);
   simulation.ModelsAt("s0") = {{"m0", 1, {}}, {"m1", 1, {}}};
   simulation.Run(2 * kSecond);
@@ -201,11 +202,11 @@
   CHECK(simulation.servers_over_capacity() == 0);
 }
 
-TEST_CASE("An order of another placer is detected by its revision before a server exceeds its capacity") {
+TEST_CASE("An order of another placer is detected by the revision before a server exceeds its capacity") {
   ServerSimulation simulation(1);
   simulation.ModelsAt("s0") = {{"m0", 1, {}}};
   simulation.Run(2 * kSecond);
-  simulation.AcceptForeignOrder("s0", "m1");  // no heartbeat since
+  simulation.AcceptForeignOrder("s0", "m1");  // without a heartbeat since
   simulation.ReportDemand("m2", 1, 1000, 1);
   simulation.Run(400'000);
   simulation.ReportDemand("m2", 0, 0, 1);
@@ -214,7 +215,7 @@
   CHECK(simulation.Holds("s0", "m2"));
 }
 
-TEST_CASE("Unanswered orders are not repeated before the server has reported") {
+TEST_CASE("Unanswered orders are not repeated before the server has sent a report") {
   ServerSimulation simulation(1);
   simulation.ModelsAt("s0") = {{"m0", 1, {}}};
   simulation.Run(2 * kSecond);
@@ -228,7 +229,9 @@
   CHECK(simulation.loads().size() <= 4);
 }
 
-TEST_CASE("A model in high demand gets replicas by its load, and a rare one keeps its last replica") {
+TEST_CASE(
+    "A model in high demand gets replicas according to its load, and a rarely requested one keeps its last "
+    "replica") {
   ServerSimulation simulation(4);
   simulation.ModelsAt("s0") = {{"m0", 1, {}}, {"m1", 1, {}}};
   simulation.ModelsAt("s1") = {{"m2", 1, {}}};
@@ -244,7 +247,8 @@
   CHECK(simulation.Replicas("m2") == 1);
 }
 
-TEST_CASE("NextDueAt returns when the next order is due, so that it need not wait for a tick") {
+TEST_CASE(
+    "NextDueAt returns when the next order is due, so that the order does not have to wait for a tick") {
   ServerSimulation simulation(1);
   simulation.ModelsAt("s0") = {{"m0", 1, {}}, {"m1", 1, {}}};
   simulation.Run(2 * kSecond);
@@ -257,13 +261,14 @@
 }
 
 TEST_CASE(
-    "A model whose only replica is overloaded gets a second one before models that single requests wait "
+    "A model whose only replica is overloaded gets a second one before models that single requests are "
+    "waiting "
     "for") {
   ServerSimulation simulation(4);
   simulation.ModelsAt("s0") = {{"m0", 1, {}}, {"m1", 1, {}}};
   for (const char* id : {"s1", "s2", "s3"}) simulation.ModelsAt(id) = {{"m1", 1, {}}};
   simulation.Run(2 * kSecond);
-  // Requests wait for rare models all the time, for more of them than the weight store can load at once.
+  // Requests are always waiting for more rarely requested models than the weight store can load at once.
   for (int i = 0; i < 24; ++i) {
     simulation.ReportDemand("m0", 1, 1000, 0);
     simulation.ReportDemand("m1", 1, 1000, 0);
@@ -273,12 +278,12 @@
   CHECK(simulation.Replicas("m0") >= 2);
 }
 
-TEST_CASE("A model just loaded is not evicted before the requests that waited for it are served") {
+TEST_CASE("A model that was just loaded is not evicted before the requests waiting for it are served") {
   ServerSimulation simulation(2);
   simulation.ModelsAt("s0") = {{"m0", 1, {}}, {"m1", 1, {}}};
   simulation.ModelsAt("s1") = {{"m0", 1, {}}, {"m4", 1, {}}};
   simulation.Run(2 * kSecond);
-  // The servers' other models are in demand all the time.
+  // The other models of the servers are in constant demand.
   const auto report_other_demand = [&] {
     for (const char* held : {"m0", "m1"}) simulation.ReportDemand(held, 1, 1000, 0);
   };
@@ -296,9 +301,10 @@
   }
 }
 
-// An unload waits for the model's running requests, for seconds on a busy server: a model in high demand is
-// loaded where no request runs.
-TEST_CASE("A model of rising demand evicts an idle model rather than a spare replica with running requests") {
+// An unload waits for the model's running requests, which takes seconds on a busy server. A model in high
+// demand must therefore replace a model without running requests.
+TEST_CASE(
+    "A model with rising demand evicts an idle model rather than a spare replica with running requests") {
   ServerSimulation simulation(3);
   for (int i = 0; i < 3; ++i)
     simulation.ModelsAt("s" + std::to_string(i)) = {{"m0", 1, {}}, {"m" + std::to_string(1 + i), 1, {}}};
@@ -317,10 +323,10 @@
   CHECK(simulation.Replicas("m0") == 3);
 }
 
-TEST_CASE("Of the models that requests wait for, one in high demand is loaded first") {
+TEST_CASE("Of the models that requests are waiting for, one in high demand is loaded first") {
   ServerSimulation simulation(2);
   simulation.Run(kSecond);
-  simulation.RestartTerm();  // the token bucket for loads is empty
+  simulation.RestartTerm();  // which empties the token bucket for loads
   for (const char* rare : {"m0", "m1", "m2", "m3"}) simulation.ReportDemand(rare, 1, 10, 1);
   simulation.Run(kSecond / 10);
   simulation.ReportDemand("m5", 4, 40, 1);
@@ -331,7 +337,7 @@
   CHECK(simulation.Replicas("m5") == 1);
 }
 
-TEST_CASE("Loads keep to the rate limit of the weight store, also across a change of the placer") {
+TEST_CASE("Loads stay within the rate limit of the weight store, also across a change of the placer") {
   ServerSimulation simulation(12);
   simulation.Run(2 * kSecond);
   for (int i = 0; i < 100; ++i) {
@@ -342,9 +348,10 @@
   const std::vector<std::int64_t>& loads = simulation.loads();
   REQUIRE(loads.size() > 8);
   for (std::size_t first = 0; first < loads.size(); ++first) {
-    std::size_t within = 0;
-    for (std::size_t i = first; i < loads.size() && loads[i] < loads[first] + 5 * kSecond; ++i) ++within;
-    CHECK(static_cast<double>(within) <= 2 * 5 * 1.1 + 3);
+    std::size_t loads_in_window = 0;
+    for (std::size_t i = first; i < loads.size() && loads[i] < loads[first] + 5 * kSecond; ++i)
+      ++loads_in_window;
+    CHECK(static_cast<double>(loads_in_window) <= 2 * 5 * 1.1 + 3);
   }
 }
 
--- a/tests/control/placement/token_bucket_test.cpp
+++ b/tests/control/placement/token_bucket_test.cpp
@@ -1,4 +1,4 @@
-// How the token bucket limits the rate of an operation.
+// Rate limiting by the token bucket.
 #include "control/placement/token_bucket.hpp"
 
 #include <catch2/catch.hpp>
