--- a/src/control/duties/duty.hpp
+++ b/src/control/duties/duty.hpp
@@ -1,4 +1,4 @@
-// The duties: kinds of calls to others that one control process at a time may make.
+// Duties: kinds of calls to servers and the platform that only one control process at a time may make.
 #ifndef VIOLETWING_CONTROL_DUTIES_DUTY_HPP_
 #define VIOLETWING_CONTROL_DUTIES_DUTY_HPP_
 
@@ -8,19 +8,19 @@
 
 namespace violetwing::duties {
 
-/// A duty has one lease, which covers all of its subjects: every server, window, or service and zone.
+/// Each duty has one lease, which covers all of its subjects: all servers, windows, or services and zones.
 enum class Duty {
   kPlacement,  ///< orders to model servers
   kUsage,      ///< usage reports to the platform
-  kScale,      ///< orders to the platform on the number of servers
+  kScale,      ///< orders to the platform that set the number of servers
 };
 
 inline constexpr std::array kAllDuties{Duty::kPlacement, Duty::kUsage, Duty::kScale};
 
-/// Rises whenever the holder of a duty's lease changes; 0 stands for none.
+/// A token that increases whenever the holder of a duty's lease changes; 0 stands for no token.
 using FencingToken = std::uint64_t;
 
-/// Names the duty in the log and in stored state: it must not change.
+/// Returns the name of the duty in the replicated log and in stored state. These names must not change.
 constexpr std::string_view Name(Duty duty) {
   switch (duty) {
     case Duty::kPlacement:
--- a/src/control/duties/duty_table.cpp
+++ b/src/control/duties/duty_table.cpp
@@ -7,7 +7,8 @@
 
 using nlohmann::json;
 
-// Reports are due within seconds of their window's end; these cover minutes.
+// Number of windows whose reports are kept. Reports are due within seconds of their window's end, while these
+// windows cover minutes.
 constexpr std::size_t kMaxUsageWindows = 64;
 
 }  // namespace
--- a/src/control/duties/lease_keeper.cpp
+++ b/src/control/duties/lease_keeper.cpp
@@ -6,57 +6,58 @@
 namespace violetwing::duties {
 namespace {
 
-// A request that was not applied is repeated.
+// A request for a lease that was not applied is repeated after this time.
 constexpr Micros kRequestInterval = 500'000;
 
 }  // namespace
 
 LeaseKeeper::LeaseKeeper(Settings settings, Micros started_at, Acquire acquire)
     : settings_(std::move(settings)), acquire_(std::move(acquire)) {
-  // The calls of an earlier process of this machine have ended with it.
-  for (const Duty duty : kAllDuties) held_[duty].last_call_at = started_at - settings_.call_time_limit;
+  // The calls of an earlier process on this machine ended with that process.
+  for (const Duty duty : kAllDuties) leases_[duty].last_call_at = started_at - settings_.call_time_limit;
 }
 
-bool LeaseKeeper::IsSureToLead(const consensus::Replica& replica, Micros now) {
+bool LeaseKeeper::HasLeaderLease(const consensus::Replica& replica, Micros now) {
   return replica.leader() && replica.Ready() && replica.HasLease(now);
 }
 
 void LeaseKeeper::Tick(const consensus::Replica& replica, const DutyTable& table, Micros now) {
-  const bool is_sure_to_lead = IsSureToLead(replica, now);
-  for (auto& [duty, held] : held_) {
+  const bool has_leader_lease = HasLeaderLease(replica, now);
+  for (auto& [duty, state] : leases_) {
     const Lease* lease = table.Find(duty);
     if (lease != nullptr && lease->holder == settings_.holder)
-      Observe(*lease, held, now);
-    else if (is_sure_to_lead)
-      Request(duty, lease, replica, now);
+      OnGranted(*lease, state, now);
+    else if (has_leader_lease)
+      SubmitRequest(duty, lease, replica, now);
   }
 }
 
-// A token other than the last one shows that another process may have acted meanwhile.
-void LeaseKeeper::Observe(const Lease& lease, Held& held, Micros now) const {
-  if (lease.token == held.token) return;
-  held.token = lease.token;
-  held.requested_at = 0;
-  const Micros last_arrival = held.last_call_at + settings_.call_time_limit;
-  held.acts_from = std::max(now + settings_.call_time_limit, last_arrival + settings_.lease);
+// If the token has changed, another process may have acted under the lease in the meantime.
+void LeaseKeeper::OnGranted(const Lease& lease, LeaseState& state, Micros now) const {
+  if (lease.token == state.token) return;
+  state.token = lease.token;
+  state.requested_at = 0;
+  const Micros latest_arrival = state.last_call_at + settings_.call_time_limit;
+  state.may_call_from = std::max(now + settings_.call_time_limit, latest_arrival + settings_.lease_duration);
 }
 
-void LeaseKeeper::Request(Duty duty, const Lease* current, const consensus::Replica& replica, Micros now) {
-  Held& held = held_[duty];
-  if (held.requested_at != 0 && now - held.requested_at < kRequestInterval) return;
-  held.requested_at = now;
+void LeaseKeeper::SubmitRequest(Duty duty, const Lease* current, const consensus::Replica& replica,
+                                Micros now) {
+  LeaseState& state = leases_[duty];
+  if (state.requested_at != 0 && now - state.requested_at < kRequestInterval) return;
+  state.requested_at = now;
   acquire_(
       {std::string(Name(duty)), settings_.holder, current == nullptr ? 0 : current->token, replica.term()});
 }
 
 std::optional<FencingToken> LeaseKeeper::Grant(Duty duty, const consensus::Replica& replica,
                                                const DutyTable& table, Micros now) const {
-  if (!IsSureToLead(replica, now)) return std::nullopt;
+  if (!HasLeaderLease(replica, now)) return std::nullopt;
   const Lease* lease = table.Find(duty);
-  const Held& held = held_.at(duty);
-  if (lease == nullptr || lease->holder != settings_.holder || lease->token != held.token)
+  const LeaseState& state = leases_.at(duty);
+  if (lease == nullptr || lease->holder != settings_.holder || lease->token != state.token)
     return std::nullopt;
-  if (now < held.acts_from) return std::nullopt;
+  if (now < state.may_call_from) return std::nullopt;
   return lease->token;
 }
 
--- a/src/control/duties/retry_timer.hpp
+++ b/src/control/duties/retry_timer.hpp
@@ -1,4 +1,4 @@
-// When a call to the platform may be sent again.
+// Schedules the retries of a call to the platform.
 #ifndef VIOLETWING_CONTROL_DUTIES_RETRY_TIMER_HPP_
 #define VIOLETWING_CONTROL_DUTIES_RETRY_TIMER_HPP_
 
@@ -9,18 +9,19 @@
 
 namespace violetwing::duties {
 
-/// Exponential backoff with full jitter. Times are in microseconds of one steady clock.
+/// Exponential backoff with full jitter on top of the base delay. Times are in microseconds of one steady
+/// clock. Not thread-safe.
 class RetryTimer {
  public:
-  /// A call may be sent now.
+  /// Whether a call may be sent now.
   bool IsDue(Micros now) const { return now >= due_at_; }
-  /// A call has failed.
+  /// Records that a call failed, and delays the next one.
   void OnFailed(Random& random, Micros now) {
     const Micros limit = std::min(kMaxBackoff, kBaseBackoff << std::min(failures_, kMaxDoublings));
     ++failures_;
     due_at_ = now + kBaseBackoff + static_cast<Micros>(random.Uniform() * static_cast<double>(limit));
   }
-  /// A call has succeeded: the next one need not wait.
+  /// Records that a call succeeded, so that the next one may be sent at once.
   void OnSucceeded() {
     failures_ = 0;
     due_at_ = 0;
--- a/src/control/duties/usage_reporter.cpp
+++ b/src/control/duties/usage_reporter.cpp
@@ -8,15 +8,15 @@
 namespace {
 
 constexpr const char* kUsagePath = "/usage";
-// Part of the time until a report is due that is left to sidecars for their last counts; the rest is for the
-// report itself, a change of the holder and an outage of the platform.
-constexpr double kCollectingShare = 0.35;
-// Commands that were not applied are submitted again.
+// Fraction of the delay until a report is due that is reserved for the last counts of sidecars. The rest is
+// left for the report itself, a change of the lease holder and an outage of the platform.
+constexpr double kCollectionFraction = 0.35;
+// A command that was not applied is submitted again after this time.
 constexpr Micros kSubmitInterval = 500'000;
-// Counts that nobody has decided on are kept for so many windows after theirs was due.
-constexpr std::int64_t kKeptWindows = 12;
+// Counts of a window without a decided report are kept for this many windows after that report was due.
+constexpr std::int64_t kMaxOverdueWindows = 12;
 
-PlatformCall ReportFor(std::int64_t window, const UsageCounts& counts, FencingToken token) {
+PlatformCall MakeReportCall(std::int64_t window, const UsageCounts& counts, FencingToken token) {
   return {Duty::kUsage, std::to_string(window), kUsagePath,
           nlohmann::json{{"window", window}, {"counts", counts}}.dump(), token};
 }
@@ -28,8 +28,8 @@
 
 void UsageReporter::Tick(FencingToken token, const DutyTable& table, const UsageTable& counts,
                          Micros true_time, Micros now) {
-  Record(table, counts, true_time, now);
-  Send(token, table, now);
+  SubmitNextDecision(table, counts, true_time, now);
+  SendNextReport(token, table, now);
 }
 
 void UsageReporter::PruneCounts(const DutyTable& table, UsageTable& counts, Micros true_time) {
@@ -37,16 +37,18 @@
     if (!table.IsRecorded(window)) break;
     counts.ForgetUpTo(window);
   }
-  const std::int64_t due = (true_time - settings_.delay) / settings_.window;
-  counts.ForgetUpTo(due - kKeptWindows);
-  delivered_.erase(delivered_.begin(), delivered_.lower_bound(due - kKeptWindows));
+  const std::int64_t first_window_not_due = (true_time - settings_.report_delay) / settings_.window_length;
+  counts.ForgetUpTo(first_window_not_due - kMaxOverdueWindows);
+  delivered_.erase(delivered_.begin(), delivered_.lower_bound(first_window_not_due - kMaxOverdueWindows));
 }
 
-void UsageReporter::Record(const DutyTable& table, const UsageTable& counts, Micros true_time, Micros now) {
+void UsageReporter::SubmitNextDecision(const DutyTable& table, const UsageTable& counts, Micros true_time,
+                                       Micros now) {
   if (submitted_at_ != 0 && now - submitted_at_ < kSubmitInterval) return;
-  const auto collecting = static_cast<Micros>(static_cast<double>(settings_.delay) * kCollectingShare);
+  const auto collection_time =
+      static_cast<Micros>(static_cast<double>(settings_.report_delay) * kCollectionFraction);
   for (const std::int64_t window : counts.Windows()) {
-    const Micros complete_at = (window + 1) * settings_.window + collecting;
+    const Micros complete_at = (window + 1) * settings_.window_length + collection_time;
     if (true_time < complete_at) return;
     if (table.IsRecorded(window)) continue;
     submitted_at_ = now;
@@ -55,12 +57,12 @@
   }
 }
 
-void UsageReporter::Send(FencingToken token, const DutyTable& table, Micros now) {
+void UsageReporter::SendNextReport(FencingToken token, const DutyTable& table, Micros now) {
   if (in_flight_ || !retry_timer_.IsDue(now)) return;
   for (const auto& [number, window] : table.usage()) {
     if (window.delivered || delivered_.count(number) > 0) continue;
     in_flight_ = true;
-    outputs_.call(ReportFor(number, window.counts, token));
+    outputs_.call(MakeReportCall(number, window.counts, token));
     return;
   }
 }
--- a/src/control/duties/usage_table.cpp
+++ b/src/control/duties/usage_table.cpp
@@ -5,10 +5,10 @@
 namespace violetwing::duties {
 
 void UsageTable::Merge(const UsageReport& report) {
-  for (const UsageCount& one : report.counts) {
-    if (one.window <= forgotten_up_to_) continue;
-    std::uint64_t& known = counts_[one.window][report.reporter][one.tenant];
-    known = std::max(known, one.count);
+  for (const UsageCount& usage_count : report.counts) {
+    if (usage_count.window <= forgotten_up_to_) continue;
+    std::uint64_t& highest_count = counts_[usage_count.window][report.reporter][usage_count.tenant];
+    highest_count = std::max(highest_count, usage_count.count);
   }
 }
 
@@ -41,10 +41,10 @@
       report.reporter = reporter;
       for (const auto& [tenant, count] : counts) report.counts.push_back({window, tenant, count});
     }
-  std::vector<UsageReport> out;
-  out.reserve(reports.size());
-  for (auto& [reporter, report] : reports) out.push_back(std::move(report));
-  return out;
+  std::vector<UsageReport> result;
+  result.reserve(reports.size());
+  for (auto& [reporter, report] : reports) result.push_back(std::move(report));
+  return result;
 }
 
 }  // namespace violetwing::duties
--- a/src/control/duties/usage_table.hpp
+++ b/src/control/duties/usage_table.hpp
@@ -1,5 +1,5 @@
-// What sidecars have counted, as known to one control process: soft state that all control processes share by
-// exchanges. A core: it holds no clock, socket, file or thread.
+// The usage counts of the sidecars, as known to one control process. They are soft state, which control
+// processes replicate by gossip exchanges. Does no I/O, reads no clock and starts no threads.
 #ifndef VIOLETWING_CONTROL_DUTIES_USAGE_TABLE_HPP_
 #define VIOLETWING_CONTROL_DUTIES_USAGE_TABLE_HPP_
 
@@ -13,24 +13,25 @@
 
 namespace violetwing::duties {
 
-/// Counts by window, reporter and tenant, of which the highest holds (a grow-only counter, Shapiro et al.
+/// Counts by window, reporter and tenant. A merge keeps the higher count (a grow-only counter, Shapiro et al.
 /// 2011, "A comprehensive study of convergent and commutative replicated data types"). Not thread-safe.
 class UsageTable {
  public:
-  /// Merges a report. Counts of windows that were forgotten are ignored.
+  /// Merges a report. Counts of forgotten windows are ignored.
   void Merge(const UsageReport& report);
-  /// Forgets a window and all before it.
+  /// Removes the counts of `window` and all earlier windows, and ignores later reports on them.
   void ForgetUpTo(std::int64_t window);
 
-  /// The sum over all reporters, by tenant; empty if there is none.
+  /// Returns the sum over all reporters, by tenant; empty if there are no counts.
   UsageCounts Totals(std::int64_t window) const;
-  /// The numbers of the windows with counts, in rising order.
+  /// Returns the numbers of the windows with counts, in ascending order.
   std::vector<std::int64_t> Windows() const;
-  /// All that is known, one report for each reporter.
+  /// Returns all counts, as one report for each reporter.
   std::vector<UsageReport> Reports() const;
 
  private:
   std::map<std::int64_t, std::map<std::string, UsageCounts>> counts_;  // by window, reporter, tenant
+  // Highest forgotten window; -1 if there is none.
   std::int64_t forgotten_up_to_ = -1;
 };
 
--- a/tests/control/duties/duty_table_test.cpp
+++ b/tests/control/duties/duty_table_test.cpp
@@ -1,4 +1,4 @@
-// The replicated state of the duties, command by command.
+// The replicated state of the duties: the effect of each command, snapshots and encoding.
 #include "control/duties/duty_table.hpp"
 
 #include <catch2/catch.hpp>
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-TEST_CASE("A lease's token rises with each holder and never with the same one") {
+TEST_CASE("A lease's token increases with each new holder and stays the same for the same holder") {
   DutyTable table;
   CHECK(table.Find(Duty::kUsage) == nullptr);
   table.Apply(Acquire("a", 0, 7));
@@ -28,7 +28,7 @@
   CHECK(table.Find(Duty::kPlacement) == nullptr);
 }
 
-TEST_CASE("A request for a lease that is late, after another holder's, has no effect") {
+TEST_CASE("A request for a lease that is applied after another holder's has no effect") {
   DutyTable table;
   table.Apply(Acquire("a", 0, 1));
   table.Apply(Acquire("b", 1));
@@ -37,7 +37,7 @@
   CHECK(table.Find(Duty::kUsage)->token == 2);
 }
 
-TEST_CASE("The first decision on a window's usage stands, also after it was forgotten") {
+TEST_CASE("Only the first decision on a window's usage takes effect, even after the window was dropped") {
   constexpr std::int64_t kWindows = 100;
   DutyTable table;
   table.Apply(RecordUsage{1, {{"t", 5}}});
@@ -49,7 +49,7 @@
   CHECK_FALSE(table.IsRecorded(kWindows + 1));
 }
 
-TEST_CASE("The state of the duties survives a snapshot") {
+TEST_CASE("A snapshot restores the state of the duties") {
   DutyTable table;
   table.Apply(Acquire("a", 0, 4));
   table.Apply(RecordUsage{3, {{"t", 5}, {"u", 1}}});
@@ -61,7 +61,7 @@
   CHECK(loaded.Save() == table.Save());
 }
 
-TEST_CASE("Commands of the duties are decoded as they were encoded") {
+TEST_CASE("Commands of the duties are decoded to what was encoded") {
   const auto lease = DecodeConfigurationCommand(Encode(ConfigurationCommand(Acquire("a", 3, 9)))).value();
   CHECK(std::get<AcquireLease>(lease).holder == "a");
   CHECK(std::get<AcquireLease>(lease).expected_token == 3);
--- a/tests/control/duties/usage_test.cpp
+++ b/tests/control/duties/usage_test.cpp
@@ -1,4 +1,4 @@
-// The true time, and the counts of usage, at one process.
+// The estimate of the true time and the usage counts of one process.
 #include <catch2/catch.hpp>
 
 #include "control/duties/true_time.hpp"
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-TEST_CASE("The true time is the median of the clocks, which a jump of one does not move") {
+TEST_CASE("The true time is the median of the clocks, which does not follow a jump of one clock") {
   TrueTime time;
   CHECK_FALSE(time.At(kSecond));
   time.OnOwnClock(100 * kSecond, kSecond);
@@ -24,7 +24,7 @@
   CHECK(time.At(kSecond) == 100 * kSecond - 10);
 }
 
-TEST_CASE("A clock that was read by a slow call, or long ago, does not count") {
+TEST_CASE("A clock reading with a long round trip or of great age is ignored") {
   TrueTime time;
   time.OnOwnClock(100 * kSecond, kSecond);
   time.OnPeerClock("b", 50 * kSecond, kSecond, 2 * kSecond);
@@ -34,7 +34,7 @@
   CHECK(time.At(30 * kSecond) == 129 * kSecond);
 }
 
-TEST_CASE("Usage reports may be doubled, reordered and repeated without a change of the totals") {
+TEST_CASE("Duplicated, reordered and repeated usage reports do not change the totals") {
   UsageTable table;
   table.Merge({"edge-1", {{7, "t", 3}, {8, "t", 1}}});
   table.Merge({"edge-2", {{7, "t", 2}, {7, "u", 1}}});
--- a/tests/testing/model_servers.hpp
+++ b/tests/testing/model_servers.hpp
@@ -1,4 +1,4 @@
-// A directory of servers of one service that hold one model, for tests of choices among them.
+// A directory of one service's servers that hold the same model, for tests that choose among them.
 #ifndef VIOLETWING_TESTS_TESTING_MODEL_SERVERS_HPP_
 #define VIOLETWING_TESTS_TESTING_MODEL_SERVERS_HPP_
 
@@ -10,8 +10,10 @@
 
 namespace violetwing::testing {
 
-// Servers "i-0" and so on of service "s" with model "m"; the first three hold its adapter "a1".
-inline Directory ModelServers(int count, int number, int sidecars) {
+// Returns a directory with `count` servers "i-0", "i-1", ... of service "s" that hold model "m". The first
+// three also hold its adapter "a1". The directory belongs to sidecar `sidecar_number`, from 0, of
+// `sidecar_count`.
+inline Directory ModelServers(int count, int sidecar_number, int sidecar_count) {
   std::map<std::string, Instance> instances;
   for (int i = 0; i < count; ++i) {
     Instance instance;
@@ -22,7 +24,7 @@
     instance.models = {{"m", 1, i < 3 ? std::vector<std::string>{"a1"} : std::vector<std::string>{}}};
     instances[instance.id] = instance;
   }
-  return Directory(nullptr, instances, number, sidecars);
+  return Directory(nullptr, instances, sidecar_number, sidecar_count);
 }
 
 }  // namespace violetwing::testing
