--- a/examples/main.cpp
+++ b/examples/main.cpp
@@ -18,7 +18,7 @@
     sent.emplace_back(request, server);
   }
   void Cancel(std::string_view, int) override {}
-  void Refuse(std::string_view request, violetwing::balancer::Micros after) override {
+  void Reject(std::string_view request, violetwing::balancer::Micros after) override {
     std::printf("refuse  %s, back after %lld us\n", std::string(request).c_str(),
                 static_cast<long long>(after));
   }
@@ -38,9 +38,9 @@
   Settings settings;
   RequestClass look;
   look.name = "look";
-  look.aim = 500'000;
+  look.latency_target = 500'000;
   look.deadline = 2'000'000;
-  look.repeat = Repeat::kSafe;
+  look.retry_safety = RetrySafety::kSafe;
   settings.classes = {look};
   settings.max_attempts = 4;
 
@@ -71,7 +71,7 @@
       outcome.request = to;
       outcome.attempt = attempt;
       outcome.elapsed = 20'000;
-      outcome.result = server == servers[0].id ? Result::kRefused : Result::kSuccess;
+      outcome.result = server == servers[0].id ? Result::kRejected : Result::kSuccess;
       outcome.settled = outcome.result == Result::kSuccess;  // a success reaches the client and ends it
       served += outcome.settled;
       now += outcome.elapsed;
@@ -80,6 +80,6 @@
         balancer->OnTimer(now += delay, token);
     }
   }
-  std::printf("%d of 8 served, %zu held\n", served, balancer->requests_held());
-  return served == 8 && balancer->requests_held() == 0 ? 0 : 1;
+  std::printf("%d of 8 served, %zu held\n", served, balancer->tracked_requests());
+  return served == 8 && balancer->tracked_requests() == 0 ? 0 : 1;
 }
--- a/include/violetwing_balancer/balancer.hpp
+++ b/include/violetwing_balancer/balancer.hpp
@@ -30,19 +30,19 @@
 using Micros = std::int64_t;
 
 // Whether a request may run again after an attempt that may have run.
-enum class Repeat { kSafe, kDeduplicated, kNever };
+enum class RetrySafety { kSafe, kDeduplicated, kNever };
 
 // Which servers drop the repeats of a deduplicated request.
 enum class DedupGroup { kAll, kZone, kCell };
 
 struct RequestClass {
   std::string name;
-  Micros aim = 0;          // an answer within this time is worth all
-  double aim_stretch = 0;  // the aim grows by this multiple of the request's own work
-  Micros deadline = 0;     // the longest that a client waits, over all its tries
-  double worth = 1;        // of one request, or of one unit of its work
-  double late_worth = 0;   // share of the worth of an answer after the aim
-  Repeat repeat = Repeat::kNever;
+  Micros latency_target = 0;  // an answer within this time is worth all
+  double aim_stretch = 0;     // the aim grows by this multiple of the request's own work
+  Micros deadline = 0;        // the longest that a client waits, over all its tries
+  double value = 1;           // of one request, or of one unit of its work
+  double late_value = 0;      // share of the worth of an answer after the aim
+  RetrySafety retry_safety = RetrySafety::kNever;
   DedupGroup group = DedupGroup::kAll;
   Micros dedup_window = 0;  // repeats are dropped for so long after the first send
   bool streamed = false;
@@ -59,10 +59,10 @@
 struct Settings {
   std::vector<RequestClass> classes;
   std::vector<Tenant> tenants;
-  int zone = -1;               // this sidecar's; -1 = unknown
-  std::uint32_t rank = 0;      // this sidecar's number, from 0
-  std::uint32_t siblings = 1;  // number of sidecars
-  Micros tick = 0;             // events arrive at this granularity
+  int zone = -1;                    // this sidecar's; -1 = unknown
+  std::uint32_t rank = 0;           // this sidecar's number, from 0
+  std::uint32_t sidecar_count = 1;  // number of sidecars
+  Micros tick = 0;                  // events arrive at this granularity
   // What is allowed.
   int max_attempts = 1;
   bool parallel_attempts = false;
@@ -71,32 +71,32 @@
   bool probes = false;
   Micros max_retry_after = 0;  // clients follow no longer advice; 0 = they take none
   int streams_per_connection = 1;
-  Micros connection_idle = 0;  // idle connections are closed after so long; 0 = not told
-  Micros dial_timeout = 0;     // a connection that is not up by then is unreachable; 0 = not told
-  std::int64_t most_open = 0;  // requests that a sidecar can have open; 0 = not told
-  std::int64_t cpu_per_s = 0;  // CPU that a sidecar has, in microseconds a second; 0 = not told
-  double cpu_per_request = 0;  // CPU for a request with its outcomes, in microseconds; 0 = no limit
-  bool clients_mark_repeats = false;
+  Micros connection_idle_timeout = 0;  // idle connections are closed after so long; 0 = not told
+  Micros dial_timeout = 0;             // a connection that is not up by then is unreachable; 0 = not told
+  std::int64_t max_open_requests = 0;  // requests that a sidecar can have open; 0 = not told
+  std::int64_t cpu_per_s = 0;          // CPU that a sidecar has, in microseconds a second; 0 = not told
+  double cpu_per_request = 0;          // CPU for a request with its outcomes, in microseconds; 0 = no limit
+  bool clients_mark_retries = false;
   // What is told of the servers' load, and what the weights of the list are.
   enum class Reports { kNone, kInAnswers, kInProbes } reports = Reports::kNone;
   std::vector<std::string> report_fields;
   enum class Weights { kNone, kNominal, kRough, kLive } weights = Weights::kNone;
   // How the list of servers is followed.
   bool must_subscribe = false;
-  Micros ask_within = 0;
+  Micros max_subscribe_delay = 0;
   // The rules.
   Micros drain_grace = 0;
-  double cold_share = 1;              // capacity of a server at its start
-  Micros warm_after = 0;              // it has its full capacity after so long
-  double overload_factor = 1;         // more than so many times its capacity ...
-  Micros fall_window = 0;             // ... for so long, and a cold server falls over
-  bool refused_may_have_run = false;  // a server turns away also what it had begun: kRefused proves nothing
-  Micros settle_after_doubt = 0;      // a key's next request waits so long after a time-out, reset or cancel
+  double cold_share = 1;               // capacity of a server at its start
+  Micros warm_after = 0;               // it has its full capacity after so long
+  double overload_factor = 1;          // more than so many times its capacity ...
+  Micros overload_window = 0;          // ... for so long, and a cold server falls over
+  bool rejected_may_have_run = false;  // a server turns away also what it had begun: kRefused proves nothing
+  Micros sequential_settle_time = 0;   // a key's next request waits so long after a time-out, reset or cancel
   // Prices, in shares of the result.
-  double price_crossing = 0;
+  double price_cross_zone = 0;
   double price_waste = 0;
   double price_connection = 0;
-  double price_late = 0;
+  double price_late_failure = 0;
   double price_handshake = 0;
   double price_probe = 0;      // of a probe for each request
   double price_peer = 0;       // of 256 bytes delivered to peers for each request
@@ -104,11 +104,11 @@
   double price_moves = 0;
   double price_origin = 0;
   // What the result weighs, in shares.
-  double goal_whole = 1;
+  double goal_total = 1;
   double goal_worst_window = 0;
   double goal_worst_class = 0;
   double goal_worst_tenant = 0;
-  bool worth_by_work = false;
+  bool value_by_work = false;
   double over_share_worth = 1;
 };
 
@@ -131,7 +131,7 @@
   } kind = Kind::kFull;
   std::int64_t version = 0;
   std::span<const ServerInfo> servers;
-  bool awaited = false;  // another process serves until a fresh list has come here, or for a few seconds
+  bool takeover = false;  // another process serves until a fresh list has come here, or for a few seconds
 };
 
 struct Request {
@@ -140,22 +140,22 @@
   int tenant = -1;
   std::optional<Micros> cost;  // expected work
   Micros budget = 0;           // the client gives up after this time
-  bool repeated = false;       // the client says that it is a repeat
+  bool is_retry = false;       // the client says that it is a repeat
   bool write = false;
-  bool open = false;     // its last byte is still to come; its time counts from then on
-  std::string_view key;  // what it concerns; empty = none
+  bool body_incomplete = false;  // its last byte is still to come; its time counts from then on
+  std::string_view key;          // what it concerns; empty = none
 };
 
 enum class Result {
   kSuccess,
   kError,        // may have run
-  kRefused,      // turned away unseen
+  kRejected,     // turned away unseen
   kTimeout,      // may have run, may be running
   kUnreachable,  // no connection
   kReset,        // the connection broke; may have run
   kCancelled,    // may have run
   kNeverSent,
-  kHeldBack,  // nothing was sent for want of a descriptor of our own, which tells nothing of the server
+  kNoDescriptor,  // nothing was sent for want of a descriptor of our own, which tells nothing of the server
 };
 
 // What a server says of itself: late and noisy. A value that was not reported is absent, never 0.
@@ -195,10 +195,10 @@
 // Balancer.
 // What an operator wants of a zone: how far it is open follows from this and the time alone.
 struct ZoneOrder {
-  bool drains = false;  // else it is returned to, in steps
-  Micros begun = 0;
-  Micros over = 0;  // 0 = at once
-  double from = 1;  // how far it was open then
+  bool draining = false;  // else it is returned to, in steps
+  Micros start = 0;
+  Micros duration = 0;       // 0 = at once
+  double initial_share = 1;  // how far it was open then
   bool operator==(const ZoneOrder&) const = default;
 };
 
@@ -211,7 +211,7 @@
   virtual void Send(std::string_view request, const std::string& server, Micros timeout,
                     Micros begin_within) = 0;
   virtual void Cancel(std::string_view request, int attempt) = 0;
-  virtual void Refuse(std::string_view request, Micros retry_after) = 0;
+  virtual void Reject(std::string_view request, Micros retry_after) = 0;
   virtual void Fail(std::string_view request) = 0;
   virtual void SetTimer(Micros delay, std::uint64_t token) = 0;
   virtual void Subscribe() = 0;
@@ -230,13 +230,13 @@
   void OnServers(Micros now, const ListUpdate& update);
   void OnRequest(Micros now, const Request& request);
   // The last byte of an open request has come, and its client gives up after `budget`.
-  void OnRequestEnded(Micros now, std::string_view request, Micros budget);
+  void OnRequestBodyComplete(Micros now, std::string_view request, Micros budget);
   // What has been sent of an open request is gone: it cannot be sent once more.
-  void OnBodyDropped(Micros now, std::string_view request);
+  void OnRequestBodyDiscarded(Micros now, std::string_view request);
   // The answer goes to the client as it comes: no other can take its place, and the outcome's time ends here.
   void OnResponseStarted(Micros now, std::string_view request, int attempt);
   void OnOutcome(Micros now, const Outcome& outcome);
-  void OnClientGone(Micros now, std::string_view request);
+  void OnClientDisconnected(Micros now, std::string_view request);
   void OnTimer(Micros now, std::uint64_t token);
   void OnProbed(Micros now, const ProbeResult& probe);
   void OnPeerMessage(Micros now, std::uint32_t sender, std::string_view bytes);
@@ -245,15 +245,15 @@
   void Disable(Micros now, const std::string& server);
   void Enable(Micros now, const std::string& server);
   const std::set<std::string>& disabled() const;
-  bool EverListed(const std::string& server) const;
+  bool WasListed(const std::string& server) const;
   // A zone, by its number in the settings, is emptied or returned to by hand. The latest order holds.
-  void OrderZone(Micros now, int zone, const ZoneOrder& order);
-  void ForgetZone(int zone);              // it is wholly open
-  double ZoneOpen(Micros now, int zone);  // the share of its usual part that it gets
-  bool AnyElsewhere(int zone) const;      // a server that may be used in another zone
+  void SetZoneOrder(Micros now, int zone, const ZoneOrder& order);
+  void ClearZoneOrder(int zone);                  // it is wholly open
+  double ZoneTrafficShare(Micros now, int zone);  // the share of its usual part that it gets
+  bool HasUsableServerOutside(int zone) const;    // a server that may be used in another zone
   Membership membership(Micros now);
 
-  std::size_t requests_held() const;  // records kept, ended ones with an attempt still out included
+  std::size_t tracked_requests() const;  // records kept, ended ones with an attempt still out included
 
  private:
   class State;
--- a/src/balancer/admission.cpp
+++ b/src/balancer/admission.cpp
@@ -68,7 +68,7 @@
 Admission::Admission(const Settings& settings, Random& random)
     : set_(settings), random_(random), load_(settings.classes.size()) {
   for (const RequestClass& c : set_.classes)
-    if (c.aim > 0) window_ = std::min(window_, c.aim);
+    if (c.latency_target > 0) window_ = std::min(window_, c.latency_target);
 }
 
 void Admission::CountArrival(Micros now, std::size_t own, std::optional<Micros> cost) {
@@ -87,19 +87,19 @@
 bool Admission::Admits(const Pool& pool, std::size_t own, bool late) {
   if (pool.admit >= 1) return true;
   return random_.Unit() * load_[own].arriving <
-         pool.admit * Arriving(0) - Arriving(Value(own) * (late ? set_.classes[own].late_worth : 1));
+         pool.admit * Arriving(0) - Arriving(Value(own) * (late ? set_.classes[own].late_value : 1));
 }
 
 bool Admission::Crowded(Micros now) const {
-  if (set_.most_open <= 0) return false;
+  if (set_.max_open_requests <= 0) return false;
   double share = kCrowded;
   if (succeeds_) {
     Micros longest = 1;
-    for (const RequestClass& c : set_.classes) longest = std::max(longest, c.aim);
+    for (const RequestClass& c : set_.classes) longest = std::max(longest, c.latency_target);
     const double grown = static_cast<double>(now - first_arrival_) / static_cast<double>(longest);
     share = kCrowdedFirst + (kCrowded - kCrowdedFirst) * std::min(grown, 1.0);
   }
-  return static_cast<double>(open_) > share * static_cast<double>(set_.most_open);
+  return static_cast<double>(open_) > share * static_cast<double>(set_.max_open_requests);
 }
 
 // Little's law: what is out is what is answered in a second times the time of an answer. At the knee's time
@@ -133,7 +133,7 @@
 }
 
 bool Admission::WorthCrossing(std::size_t own) const {
-  return Worth(own) >= set_.price_crossing * mean_worth_;
+  return Worth(own) >= set_.price_cross_zone * mean_worth_;
 }
 
 // Work that arrived lately and is worth more than `value`.
@@ -145,14 +145,14 @@
 }
 
 double Admission::Target(std::size_t own) const {
-  const double aim = static_cast<double>(std::max<Micros>(set_.classes[own].aim, 1));
+  const double latency_target = static_cast<double>(std::max<Micros>(set_.classes[own].latency_target, 1));
   const double unloaded = load_[own].unloaded;
-  if (unloaded <= 0) return kTimely * aim;
-  return std::max(std::min(kKnee * unloaded, kTimely * aim), kHeadroom * unloaded);
+  if (unloaded <= 0) return kTimely * latency_target;
+  return std::max(std::min(kKnee * unloaded, kTimely * latency_target), kHeadroom * unloaded);
 }
 
 double Admission::Worth(std::size_t i) const {
-  return set_.classes[i].worth * (set_.worth_by_work ? load_[i].work : 1);
+  return set_.classes[i].value * (set_.value_by_work ? load_[i].work : 1);
 }
 
 // What the result gains by a unit of that class's work, in shares: by the whole, and for the class that is
@@ -185,13 +185,14 @@
   else if (all_in)
     load.unloaded += (load.usual - load.unloaded) / kUnloadedMemory;
   // Who begins in an overload has seen no idle server: nothing that is late is taken for one.
-  const double aim = static_cast<double>(std::max<Micros>(set_.classes[own].aim, 1));
-  load.unloaded = std::min(load.unloaded, kTimely * aim);
+  const double latency_target = static_cast<double>(std::max<Micros>(set_.classes[own].latency_target, 1));
+  load.unloaded = std::min(load.unloaded, kTimely * latency_target);
 }
 
 void Admission::Feel(Pool& pool, std::size_t own, const Outcome& outcome, Micros since_arrival,
                      const Server& server) {
-  const double worst = kAdmitWorst * static_cast<double>(std::max<Micros>(set_.classes[own].aim, 1));
+  const double worst =
+      kAdmitWorst * static_cast<double>(std::max<Micros>(set_.classes[own].latency_target, 1));
   double elapsed = std::min(static_cast<double>(std::max(outcome.elapsed, since_arrival)), worst);
   if (outcome.result == Result::kSuccess) {
     pool.answered += Target(own);
@@ -199,7 +200,7 @@
     if (pool.starting && elapsed < Target(own)) ++pool.carries;
     Learn(own, static_cast<double>(outcome.elapsed), pool.admit >= 1);
   } else if (outcome.result == Result::kTimeout ||
-             (outcome.result == Result::kRefused && !RefusesOneClass(server))) {
+             (outcome.result == Result::kRejected && !RefusesOneClass(server))) {
     elapsed = worst;
   } else {
     return;  // says nothing of load
--- a/src/balancer/evidence.cpp
+++ b/src/balancer/evidence.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-bool Learn(Server& server, ClassTimes& times, std::size_t own, std::size_t classes, Micros aim,
+bool Learn(Server& server, ClassTimes& times, std::size_t own, std::size_t classes, Micros latency_target,
            const Outcome& outcome) {
   const double elapsed = static_cast<double>(outcome.elapsed);
   double slow = kSlowMost;  // timed out or unreachable
@@ -30,24 +30,24 @@
     server.fails += (kRefusalMost - server.fails) / kRefusalMemory;
     return false;
   } else if (outcome.result == Result::kReset || outcome.result == Result::kCancelled ||
-             outcome.result == Result::kNeverSent || outcome.result == Result::kHeldBack) {
+             outcome.result == Result::kNeverSent || outcome.result == Result::kNoDescriptor) {
     // A reset tells of a connection. Were servers ejected for it, a path that breaks now and then would
     // keep half the window idle; one whose process has died cannot be reached next, and that counts.
     return false;
   }
   server.refuses.resize(classes);
   double& refuses = server.refuses[own];
-  if (outcome.result == Result::kRefused) refuses += (kRefusalMost - refuses) / kRefusalMemory;
+  if (outcome.result == Result::kRejected) refuses += (kRefusalMost - refuses) / kRefusalMemory;
   if (outcome.result == Result::kSuccess) {
     refuses -= refuses / kServedMemory;
     server.fails -= server.fails / kServedMemory;
   }
-  if (outcome.result != Result::kRefused) server.slow += (slow - server.slow) / kSlowMemory;
+  if (outcome.result != Result::kRejected) server.slow += (slow - server.slow) / kSlowMemory;
   if (outcome.result == Result::kSuccess) {
-    if (outcome.elapsed < aim) server.consecutive_failures = 0;
+    if (outcome.elapsed < latency_target) server.consecutive_failures = 0;
     return false;
   }
-  return outcome.result != Result::kRefused;
+  return outcome.result != Result::kRejected;
 }
 
 }  // namespace violetwing::balancer
--- a/src/balancer/evidence.hpp
+++ b/src/balancer/evidence.hpp
@@ -10,7 +10,7 @@
 
 // Takes an outcome of class `own`, of `classes`, into what is known of the server and of the class's usual
 // time. True if the server is to be ejected for it.
-bool Learn(Server& server, ClassTimes& times, std::size_t own, std::size_t classes, Micros aim,
+bool Learn(Server& server, ClassTimes& times, std::size_t own, std::size_t classes, Micros latency_target,
            const Outcome& outcome);
 
 }  // namespace violetwing::balancer
--- a/src/balancer/policy.cpp
+++ b/src/balancer/policy.cpp
@@ -69,15 +69,15 @@
   // ---- The list of servers and the window on its ring ----
 
   void OnServers(const ListUpdate& update) {
-    if (update.awaited) admission_.Succeed();
+    if (update.takeover) admission_.Succeed();
     if (update.kind == ListUpdate::Kind::kFailed) {
       const Micros most = std::max(asked_at_ + kAskAgain - now_, kAskBase);
-      const Micros wait = std::min(Doubled(kAskBase, asks_failed_++, set_.ask_within), most);
-      AskLater(update.awaited ? kAskAwaited : wait);
+      const Micros wait = std::min(Doubled(kAskBase, asks_failed_++, set_.max_subscribe_delay), most);
+      AskLater(update.takeover ? kAskAwaited : wait);
       return;
     }
     if (update.kind == ListUpdate::Kind::kStale) {
-      AskLater(update.awaited ? kAskAwaited : std::min(kAskStart, set_.ask_within / 2));
+      AskLater(update.takeover ? kAskAwaited : std::min(kAskStart, set_.max_subscribe_delay / 2));
     } else {
       asks_failed_ = 0;
     }
@@ -89,7 +89,7 @@
         room_.Begin(server);
       }
       server.info = info;
-      server.pool = set_.price_crossing >= kCrossingPriced && info.zone != set_.zone ? 1 : 0;
+      server.pool = set_.price_cross_zone >= kCrossingPriced && info.zone != set_.zone ? 1 : 0;
       server.listed = info.state != ServerInfo::State::kGone;
       ever_listed_.insert(info.id);
     }
@@ -112,14 +112,14 @@
   }
 
   const std::set<std::string>& disabled() const { return disabled_; }
-  bool EverListed(const std::string& id) const { return ever_listed_.count(id) > 0; }
+  bool WasListed(const std::string& id) const { return ever_listed_.count(id) > 0; }
 
   // ---- Zones taken out by hand ----
 
-  void OrderZone(int zone, const ZoneOrder& order) { zones_.Order(zone, order); }
-  void ForgetZone(int zone) { zones_.Forget(zone); }
-  double ZoneOpen(int zone) const { return zones_.Open(zone, now_); }
-  bool AnyElsewhere(int zone) const {
+  void SetZoneOrder(int zone, const ZoneOrder& order) { zones_.Order(zone, order); }
+  void ClearZoneOrder(int zone) { zones_.Forget(zone); }
+  double ZoneTrafficShare(int zone) const { return zones_.Open(zone, now_); }
+  bool HasUsableServerOutside(int zone) const {
     return std::any_of(servers_.begin(), servers_.end(), [&](const auto& entry) {
       return entry.second.info.zone != zone && Usable(entry.first, entry.second);
     });
@@ -145,8 +145,8 @@
     Held& held = it->second;
     held.request_class = static_cast<std::size_t>(in.request_class);
     held.arrived = now_;
-    held.open = in.open;
-    held.deadline = now_ + (in.open ? kNoDeadline : in.budget);
+    held.body_incomplete = in.body_incomplete;
+    held.deadline = now_ + (in.body_incomplete ? kNoDeadline : in.budget);
     held.late = WaitedPastAim(times_[held.request_class], ClassOf(held), in.budget);
     admission_.CountArrival(now_, held.request_class, in.cost);
     if (ClassOf(held).sequential && !in.key.empty()) lines_[held.key = in.key].push_back(it->first);
@@ -162,7 +162,7 @@
     Attempt& attempt = held.attempts[static_cast<std::size_t>(outcome.attempt)];
     if (!attempt.out) return;
     attempt.out = false;
-    attempt.may_have_run = !ProvesNeverRan(outcome.result, set_.refused_may_have_run);
+    attempt.may_have_run = !ProvesNeverRan(outcome.result, set_.rejected_may_have_run);
     --attempt.server->out;
     attempt.server->idle -= attempt.idle;
     pools_[attempt.server->pool].out -= attempt.Carried();
@@ -171,14 +171,14 @@
     if (!attempt.felt) Feel(held, *attempt.server, outcome);
     if (outcome.result == Result::kTimeout || outcome.result == Result::kReset ||
         outcome.result == Result::kCancelled)
-      held.settled_at = now_ + set_.settle_after_doubt;
+      held.settled_at = now_ + set_.sequential_settle_time;
     if (outcome.settled) SetEnded(held, outcome.result == Result::kSuccess);
     if (held.ended || held.AnyOut()) return Release(it);
     switch (outcome.result) {
-      case Result::kRefused:
+      case Result::kRejected:
       case Result::kUnreachable:
       case Result::kReset:
-      case Result::kHeldBack:
+      case Result::kNoDescriptor:
         return Wait(it);
       case Result::kSuccess:  // unsettled: not legal, and an end is owed all the same
       case Result::kError:
@@ -190,19 +190,19 @@
   }
 
   // From here on it is a request like the others.
-  void OnRequestEnded(std::string_view request, Micros budget) {
+  void OnRequestBodyComplete(std::string_view request, Micros budget) {
     auto it = held_.find(std::string(request));
-    if (it == held_.end() || !std::exchange(it->second.open, false)) return;
+    if (it == held_.end() || !std::exchange(it->second.body_incomplete, false)) return;
     it->second.arrived = now_;
     it->second.deadline = now_ + budget;
     if (!it->second.AnyOut() || it->second.ended) return;
     Attempt& attempt = it->second.attempts.back();
     attempt.server->idle -= attempt.idle;
     pools_[attempt.server->pool].out += std::exchange(attempt.idle, false);
-    Alarm(it, ClassOf(it->second).aim);
+    Alarm(it, ClassOf(it->second).latency_target);
   }
 
-  void OnBodyDropped(std::string_view request) {
+  void OnRequestBodyDiscarded(std::string_view request) {
     auto it = held_.find(std::string(request));
     if (it != held_.end()) it->second.dropped = true;
   }
@@ -218,7 +218,7 @@
     ++attempt.server->idle;
   }
 
-  void OnClientGone(std::string_view request) {
+  void OnClientDisconnected(std::string_view request) {
     auto it = held_.find(std::string(request));
     if (it == held_.end()) return;
     SetEnded(it->second);
@@ -262,17 +262,17 @@
       if (Usable(id, server)) pools_[server.pool].ring.push_back(&server);
     // Ranks are spread evenly over the ring; a server that comes or goes shifts each window by one at most.
     for (Pool& pool : pools_) {
-      pool.offset =
-          static_cast<std::size_t>(static_cast<std::uint64_t>(set_.rank) * pool.ring.size() / set_.siblings);
-      pool.sharers = Sharers(pool, set_.siblings);
+      pool.offset = static_cast<std::size_t>(static_cast<std::uint64_t>(set_.rank) * pool.ring.size() /
+                                             set_.sidecar_count);
+      pool.sharers = Sharers(pool, set_.sidecar_count);
     }
   }
 
   void SetEnded(Held& held, bool served = false) {
     if (std::exchange(held.ended, true)) return;
     const RequestClass& c = ClassOf(held);
-    const bool late = held.late || (c.aim > 0 && now_ - held.arrived > c.aim);
-    admission_.CountEnd(held.request_class, !served ? 0 : late ? c.late_worth : 1);
+    const bool late = held.late || (c.latency_target > 0 && now_ - held.arrived > c.latency_target);
+    admission_.CountEnd(held.request_class, !served ? 0 : late ? c.late_value : 1);
   }
 
   // Requests with one key go in order of arrival: only the first in line may be sent.
@@ -288,24 +288,27 @@
     Server* server = held.deadline > now_ ? Choose(held) : nullptr;
     if (server == nullptr) return Wait(it);
     ++server->out;
-    server->idle += held.open;  // no server begins what has not come whole
+    server->idle += held.body_incomplete;  // no server begins what has not come whole
     server->slow_start_credit =
         std::max(server->slow_start_credit - 1, 0.0);  // spent by a send, not by a draw
     Pool& pool = pools_[server->pool];
-    pool.out += !held.open;
+    pool.out += !held.body_incomplete;
     pool.out_peak = std::max(static_cast<double>(pool.out), pool.out_peak * (1 - 1 / kPeakMemory));
     const Micros begin_within = HarmlessFor(held);
-    held.attempts.push_back({server, server->info.zone, server->info.cell, now_, /*out=*/true, held.open});
+    held.attempts.push_back(
+        {server, server->info.zone, server->info.cell, now_, /*out=*/true, held.body_incomplete});
     sink_.Send(it->first, server->info.id, TimeOut(held), begin_within);
-    if (const Micros late = held.arrived + ClassOf(held).aim - now_; late > 0 && !held.open) Alarm(it, late);
+    if (const Micros late = held.arrived + ClassOf(held).latency_target - now_;
+        late > 0 && !held.body_incomplete)
+      Alarm(it, late);
   }
 
   // An attempt is given up when its answer would be worth nothing. Guards against servers kept busy with what
   // comes late, and tells early of those that hang.
   Micros TimeOut(const Held& held) const {
     const RequestClass& c = ClassOf(held);
-    if (c.aim <= 0 || c.late_worth > 0 || c.aim_stretch > 0 || held.open) return 0;
-    return std::max<Micros>(held.arrived + c.aim - now_, set_.tick);
+    if (c.latency_target <= 0 || c.late_value > 0 || c.aim_stretch > 0 || held.body_incomplete) return 0;
+    return std::max<Micros>(held.arrived + c.latency_target - now_, set_.tick);
   }
 
   // ---- Overload: which work is let in, and what tells of it ----
@@ -317,7 +320,7 @@
     const Micros step = c.deadline / 100;
     if (times.usual_budget == 0) times.usual_budget = budget;
     times.usual_budget += std::clamp(budget - times.usual_budget, -step, step);
-    return budget < times.usual_budget - 3 * step - set_.tick && c.deadline - budget >= c.aim;
+    return budget < times.usual_budget - 3 * step - set_.tick && c.deadline - budget >= c.latency_target;
   }
 
   // Under pressure the work of least worth is refused first, before it fills a queue. Guards against servers
@@ -364,7 +367,7 @@
   // What an outcome tells of the server.
   void Judge(const Held& held, Server& server, const Outcome& outcome) {
     const std::size_t own = held.request_class;
-    if (Learn(server, times_[own], own, times_.size(), ClassOf(held).aim, outcome))
+    if (Learn(server, times_[own], own, times_.size(), ClassOf(held).latency_target, outcome))
       room_.EjectOutlier(server, pools_[server.pool]);
   }
 
@@ -441,7 +444,7 @@
     const Attempt* ran = held.MayHaveRun();
     const RequestClass& c = ClassOf(held);
     if (!MayRepeat(held)) return false;
-    if (ran == nullptr || c.repeat == Repeat::kSafe) return true;
+    if (ran == nullptr || c.retry_safety == RetrySafety::kSafe) return true;
     if (c.group == DedupGroup::kZone) return ran->zone == server.info.zone;
     if (c.group == DedupGroup::kCell) return ran->cell == server.info.cell;
     return true;
@@ -468,26 +471,28 @@
   bool MayRepeat(const Held& held) const { return !held.dropped && HarmlessAgain(held); }
 
   bool HarmlessAgain(const Held& held) const {
-    return held.MayHaveRun() == nullptr || ClassOf(held).repeat == Repeat::kSafe || HarmlessFor(held) > 0;
+    return held.MayHaveRun() == nullptr || ClassOf(held).retry_safety == RetrySafety::kSafe ||
+           HarmlessFor(held) > 0;
   }
 
   // How much longer its repeat is dropped, if that is what it depends on. A connection may come up later.
   Micros HarmlessFor(const Held& held) const {
     const Attempt* ran = held.MayHaveRun();
     const RequestClass& c = ClassOf(held);
-    return ran != nullptr && c.repeat == Repeat::kDeduplicated ? ran->sent + c.dedup_window - now_ : 0;
+    return ran != nullptr && c.retry_safety == RetrySafety::kDeduplicated ? ran->sent + c.dedup_window - now_
+                                                                          : 0;
   }
 
   // The final answer. A refusal promises that a further try does no harm; where that is not certain it fails.
   void End(HeldIt it) {
     const RequestClass& c = ClassOf(it->second);
-    const bool harmless = it->second.MayHaveRun() == nullptr || c.repeat == Repeat::kSafe ||
+    const bool harmless = it->second.MayHaveRun() == nullptr || c.retry_safety == RetrySafety::kSafe ||
                           (c.group == DedupGroup::kAll && HarmlessAgain(it->second));
     SetEnded(it->second);
     if (harmless) {
       // Advice beyond half the aim would bring the client back too late to be served in time.
-      const Micros most = std::min(set_.max_retry_after, c.aim / 2);
-      sink_.Refuse(it->first, most > 0 ? 1 + random_.Upto(most) : 0);
+      const Micros most = std::min(set_.max_retry_after, c.latency_target / 2);
+      sink_.Reject(it->first, most > 0 ? 1 + random_.Upto(most) : 0);
     } else {
       sink_.Fail(it->first);
     }
@@ -569,13 +574,13 @@
   state_->Advance(now);
   state_->OnRequest(request);
 }
-void Balancer::OnRequestEnded(Micros now, std::string_view request, Micros budget) {
+void Balancer::OnRequestBodyComplete(Micros now, std::string_view request, Micros budget) {
   state_->Advance(now);
-  state_->OnRequestEnded(request, budget);
+  state_->OnRequestBodyComplete(request, budget);
 }
-void Balancer::OnBodyDropped(Micros now, std::string_view request) {
+void Balancer::OnRequestBodyDiscarded(Micros now, std::string_view request) {
   state_->Advance(now);
-  state_->OnBodyDropped(request);
+  state_->OnRequestBodyDiscarded(request);
 }
 void Balancer::OnResponseStarted(Micros now, std::string_view request, int attempt) {
   state_->Advance(now);
@@ -585,9 +590,9 @@
   state_->Advance(now);
   state_->OnOutcome(outcome);
 }
-void Balancer::OnClientGone(Micros now, std::string_view request) {
+void Balancer::OnClientDisconnected(Micros now, std::string_view request) {
   state_->Advance(now);
-  state_->OnClientGone(request);
+  state_->OnClientDisconnected(request);
 }
 void Balancer::OnTimer(Micros now, std::uint64_t token) {
   state_->Advance(now);
@@ -604,21 +609,21 @@
   state_->Enable(server);
 }
 const std::set<std::string>& Balancer::disabled() const { return state_->disabled(); }
-bool Balancer::EverListed(const std::string& server) const { return state_->EverListed(server); }
-void Balancer::OrderZone(Micros now, int zone, const ZoneOrder& order) {
+bool Balancer::WasListed(const std::string& server) const { return state_->WasListed(server); }
+void Balancer::SetZoneOrder(Micros now, int zone, const ZoneOrder& order) {
   state_->Advance(now);
-  state_->OrderZone(zone, order);
+  state_->SetZoneOrder(zone, order);
 }
-void Balancer::ForgetZone(int zone) { state_->ForgetZone(zone); }
-double Balancer::ZoneOpen(Micros now, int zone) {
+void Balancer::ClearZoneOrder(int zone) { state_->ClearZoneOrder(zone); }
+double Balancer::ZoneTrafficShare(Micros now, int zone) {
   state_->Advance(now);
-  return state_->ZoneOpen(zone);
+  return state_->ZoneTrafficShare(zone);
 }
-bool Balancer::AnyElsewhere(int zone) const { return state_->AnyElsewhere(zone); }
+bool Balancer::HasUsableServerOutside(int zone) const { return state_->HasUsableServerOutside(zone); }
 Membership Balancer::membership(Micros now) {
   state_->Advance(now);
   return state_->GetMembership();
 }
-std::size_t Balancer::requests_held() const { return state_->size(); }
+std::size_t Balancer::tracked_requests() const { return state_->size(); }
 
 }  // namespace violetwing::balancer
--- a/src/balancer/records.hpp
+++ b/src/balancer/records.hpp
@@ -13,9 +13,9 @@
 
 // The one place that says which outcomes prove that the attempt never ran. Some servers also turn away what
 // they had begun: their refusal proves nothing.
-inline bool ProvesNeverRan(Result result, bool refused_may_have_run) {
-  return (result == Result::kRefused && !refused_may_have_run) || result == Result::kUnreachable ||
-         result == Result::kNeverSent || result == Result::kHeldBack;
+inline bool ProvesNeverRan(Result result, bool rejected_may_have_run) {
+  return (result == Result::kRejected && !rejected_may_have_run) || result == Result::kUnreachable ||
+         result == Result::kNeverSent || result == Result::kNoDescriptor;
 }
 
 // What may always be out: with one, a single dear request would close a server or a window to all others.
@@ -98,8 +98,8 @@
   std::size_t pool = 0;
   Micros arrived = 0;
   Micros deadline = 0;
-  bool open = false;     // its last byte is still to come
-  bool dropped = false;  // its first bytes are gone
+  bool body_incomplete = false;  // its last byte is still to come
+  bool dropped = false;          // its first bytes are gone
   bool ended = false;
   bool cancelled = false;  // what was out at its end is called off
   int refusals = 0;
--- a/src/balancer/room.cpp
+++ b/src/balancer/room.cpp
@@ -32,8 +32,8 @@
                   pool.ring.size());
 }
 
-std::size_t Sharers(const Pool& pool, std::size_t siblings) {
-  return std::max<std::size_t>(kWindowWidth * siblings / std::max<std::size_t>(pool.ring.size(), 1), 1);
+std::size_t Sharers(const Pool& pool, std::size_t sidecar_count) {
+  return std::max<std::size_t>(kWindowWidth * sidecar_count / std::max<std::size_t>(pool.ring.size(), 1), 1);
 }
 
 Micros Doubled(Micros base, int n, Micros cap) {
--- a/src/balancer/room.hpp
+++ b/src/balancer/room.hpp
@@ -15,7 +15,7 @@
 // Servers in the window on the pool's ring; by its own traffic and never by the fleet's size.
 std::size_t Width(const Pool& pool);
 // Sidecars whose windows hold a server, on average and at the least width; at least 1.
-std::size_t Sharers(const Pool& pool, std::size_t siblings);
+std::size_t Sharers(const Pool& pool, std::size_t sidecar_count);
 // The wait of n failures in a row: base * 2^n, `cap` at most.
 Micros Doubled(Micros base, int n, Micros cap);
 
--- a/src/balancer/zones.cpp
+++ b/src/balancer/zones.cpp
@@ -24,11 +24,12 @@
   if (it == orders_.end()) return 1;
   const ZoneOrder& order = it->second.order;
   double passed = 1;
-  if (order.over > 0) passed = static_cast<double>(now - order.begun) / static_cast<double>(order.over);
+  if (order.duration > 0)
+    passed = static_cast<double>(now - order.start) / static_cast<double>(order.duration);
   passed = std::clamp(passed, 0.0, 1.0);
-  if (order.drains) return order.from * (1 - passed);
+  if (order.draining) return order.initial_share * (1 - passed);
   const double share = std::min(1.0, (std::floor(kReturnSteps * passed) + 1) / kReturnSteps);
-  return order.from + (1 - order.from) * share;
+  return order.initial_share + (1 - order.initial_share) * share;
 }
 
 bool Zones::Takes(int zone, Micros now, Random& random) const {
@@ -42,7 +43,7 @@
   for (auto it = orders_.begin(); it != orders_.end();) {
     const double open = Open(it->first, now);
     turned_ = std::exchange(it->second.closed, open <= 0) != (open <= 0) || turned_;
-    it = open >= 1 && !it->second.order.drains ? orders_.erase(it) : std::next(it);
+    it = open >= 1 && !it->second.order.draining ? orders_.erase(it) : std::next(it);
   }
   return std::exchange(turned_, false);
 }
--- a/src/bench_adapter/host.cpp
+++ b/src/bench_adapter/host.cpp
@@ -22,7 +22,7 @@
   void Cancel(std::string_view request, int attempt) override {
     Begin("RETRACT").Word(request).Number(attempt).End();
   }
-  void Refuse(std::string_view request, Micros retry_after) override {
+  void Reject(std::string_view request, Micros retry_after) override {
     Begin("TURN_AWAY").Word(request).Number(retry_after).End();
   }
   void Fail(std::string_view request) override { Begin("FINISH_ERROR").Word(request).End(); }
@@ -174,7 +174,7 @@
   fields.End();
   if (cost && *cost < 0) throw WireError("cost_us: negative");
   if (options & 1) request.cost = cost;
-  request.repeated = (options & 2) != 0;
+  request.is_retry = (options & 2) != 0;
   request.write = (options & 4) != 0;
   if (key != "-") request.key = key;
   request.tenant = instance.TenantIndex(tenant);
@@ -207,7 +207,7 @@
   Instance& instance = Find(fields);
   const std::string_view request = fields.Word("call");
   fields.End();
-  instance.Run([&](Balancer& b) { b.OnClientGone(now_, request); });
+  instance.Run([&](Balancer& b) { b.OnClientDisconnected(now_, request); });
 }
 
 void Host::OnHeaders(Fields& fields) {
--- a/src/bench_adapter/wire.cpp
+++ b/src/bench_adapter/wire.cpp
@@ -98,18 +98,18 @@
   RequestClass c;
   c.name = pairs.Text(at + "name", "");
   if (c.name.empty()) Bad(at + "name", "", "a class needs a name");
-  c.aim = pairs.Int(at + "aim_us", 0);
+  c.latency_target = pairs.Int(at + "aim_us", 0);
   c.aim_stretch = pairs.Number(at + "aim_stretch", 0);
   c.deadline = pairs.Int(at + "hard_limit_us", 0);
-  c.worth = pairs.Number(at + "importance", 1);
-  c.late_worth = pairs.Number(at + "late_value", 0);
+  c.value = pairs.Number(at + "importance", 1);
+  c.late_value = pairs.Number(at + "late_value", 0);
   c.dedup_window = pairs.Int(at + "window_us", 0);
   c.streamed = pairs.Bool(at + "stream", false);
   c.sequential = pairs.Bool(at + "sequential", false);
-  c.repeat = OneOf<Repeat>(pairs.Text(at + "repeat", ""), at + "repeat", "unknown repeat kind",
-                           {{"idempotent", Repeat::kSafe},
-                            {"deduplicated", Repeat::kDeduplicated},
-                            {"at_most_once", Repeat::kNever}});
+  c.retry_safety = OneOf<RetrySafety>(pairs.Text(at + "repeat", ""), at + "repeat", "unknown repeat kind",
+                                      {{"idempotent", RetrySafety::kSafe},
+                                       {"deduplicated", RetrySafety::kDeduplicated},
+                                       {"at_most_once", RetrySafety::kNever}});
   c.group = OneOf<DedupGroup>(
       pairs.Text(at + "group", "all"), at + "group", "unknown group",
       {{"all", DedupGroup::kAll}, {"zone", DedupGroup::kZone}, {"cell", DedupGroup::kCell}});
@@ -212,9 +212,9 @@
   s.max_retry_after =
       pairs.Bool("allowed.retry_after", false) ? pairs.Int("allowed.max_retry_after_us", 0) : 0;
   s.streams_per_connection = pairs.Small("allowed.streams_per_conn", 1);
-  s.connection_idle = pairs.Int("allowed.conn_idle_us", 0);
+  s.connection_idle_timeout = pairs.Int("allowed.conn_idle_us", 0);
   s.dial_timeout = pairs.Int("allowed.dial_timeout_us", 0);
-  s.most_open = pairs.Int("allowed.open_cap", 0);
+  s.max_open_requests = pairs.Int("allowed.open_cap", 0);
   s.cpu_per_s = pairs.Int("allowed.cpu_us_per_s", 0);
   s.cpu_per_request = pairs.Number("allowed.cpu_us_per_request", 0);
 }
@@ -233,21 +233,21 @@
 }
 
 void ReadRules(const Pairs& pairs, Settings& s) {
-  s.ask_within = pairs.Int("rules.ask_within_us", 0);
+  s.max_subscribe_delay = pairs.Int("rules.ask_within_us", 0);
   s.drain_grace = pairs.Int("rules.drain_grace_us", 0);
   s.cold_share = pairs.Number("rules.cold_from", 1);
   s.warm_after = pairs.Int("rules.warm_after_us", 0);
   s.overload_factor = pairs.Number("rules.overload_factor", 1);
-  s.fall_window = pairs.Int("rules.fall_us", 0);
-  s.refused_may_have_run = pairs.Bool("rules.late_shedding", false);
-  s.settle_after_doubt = pairs.Int("rules.settle_after_doubt_us", 0);
+  s.overload_window = pairs.Int("rules.fall_us", 0);
+  s.rejected_may_have_run = pairs.Bool("rules.late_shedding", false);
+  s.sequential_settle_time = pairs.Int("rules.settle_after_doubt_us", 0);
 }
 
 void ReadCosts(const Pairs& pairs, Settings& s) {
-  s.price_crossing = pairs.Number("costs.cross_zone", 0);
+  s.price_cross_zone = pairs.Number("costs.cross_zone", 0);
   s.price_waste = pairs.Number("costs.waste", 0);
   s.price_connection = pairs.Number("costs.connection", 0);
-  s.price_late = pairs.Number("costs.late_fail", 0);
+  s.price_late_failure = pairs.Number("costs.late_fail", 0);
   s.price_handshake = pairs.Number("costs.handshake", 0);
   s.price_probe = pairs.Number("costs.probe", 0);
   s.price_peer = pairs.Number("costs.peer", 0);
@@ -257,11 +257,11 @@
 }
 
 void ReadGoal(const Pairs& pairs, Settings& s) {
-  s.goal_whole = pairs.Number("goal.whole", 1);
+  s.goal_total = pairs.Number("goal.whole", 1);
   s.goal_worst_window = pairs.Number("goal.worst_window", 0);
   s.goal_worst_class = pairs.Number("goal.worst_class", 0);
   s.goal_worst_tenant = pairs.Number("goal.worst_tenant", 0);
-  s.worth_by_work = pairs.Text("value_by", "request") == "work";
+  s.value_by_work = pairs.Text("value_by", "request") == "work";
   s.over_share_worth = pairs.Number("over_share_worth", 1);
 }
 
@@ -276,10 +276,10 @@
   ReadClassesAndTenants(pairs, s);
   s.zone = IndexOf(out.zones, pairs.Text("my_zone", ""));
   s.rank = static_cast<std::uint32_t>(pairs.Small("rank", 0));
-  s.siblings = static_cast<std::uint32_t>(pairs.Small("siblings", 1));
+  s.sidecar_count = static_cast<std::uint32_t>(pairs.Small("siblings", 1));
   s.tick = pairs.Int("quantum_us", 0);
   ReadAllowed(pairs, s);
-  s.clients_mark_repeats = pairs.Bool("callers.marks_retry", false);
+  s.clients_mark_retries = pairs.Bool("callers.marks_retry", false);
   ReadTelemetry(pairs, s);
   s.must_subscribe = pairs.Text("membership_mode", "automatic") == "subscribe";
   ReadRules(pairs, s);
@@ -292,7 +292,7 @@
   return OneOf<Result>(word, "outcome", "unknown",
                        {{"success", Result::kSuccess},
                         {"failure", Result::kError},
-                        {"overloaded", Result::kRefused},
+                        {"overloaded", Result::kRejected},
                         {"timed_out", Result::kTimeout},
                         {"unreachable", Result::kUnreachable},
                         {"broken", Result::kReset},
--- a/src/sidecar/by_hand.cpp
+++ b/src/sidecar/by_hand.cpp
@@ -34,7 +34,7 @@
 }
 
 bool ByHand::Known(const std::string& server) const {
-  return balancer_.EverListed(server) || balancer_.disabled().count(server) > 0;
+  return balancer_.WasListed(server) || balancer_.disabled().count(server) > 0;
 }
 
 Admin::Verdict ByHand::TakeOut(const std::string& server) {
@@ -50,9 +50,9 @@
 Admin::Verdict ByHand::OrderZone(const std::string& zone, bool drains, Micros over) {
   const int number = bench_adapter::IndexOf(names_.zones, zone);
   if (number < 0) return Admin::Verdict::kNeverListed;
-  if (drains && !balancer_.AnyElsewhere(number)) return Admin::Verdict::kLast;
+  if (drains && !balancer_.HasUsableServerOutside(number)) return Admin::Verdict::kLast;
   const Micros now = now_();
-  const ZoneOrder order{drains, now, over, balancer_.ZoneOpen(now, number)};
+  const ZoneOrder order{drains, now, over, balancer_.ZoneTrafficShare(now, number)};
   return zones_.Put(zone, order) && ApplyZones() ? Admin::Verdict::kDone : Admin::Verdict::kNotKept;
 }
 
@@ -79,11 +79,12 @@
     const int number = bench_adapter::IndexOf(names_.zones, zone);
     if (number < 0) continue;  // of other settings
     const auto it = applied_.find(zone);
-    if (it == applied_.end() || it->second != order) balancer_.OrderZone(now, number, order);
-    if (!order.drains && balancer_.ZoneOpen(now, number) >= 1) zones_.Remove(zone);  // it has returned
+    if (it == applied_.end() || it->second != order) balancer_.SetZoneOrder(now, number, order);
+    if (!order.draining && balancer_.ZoneTrafficShare(now, number) >= 1)
+      zones_.Remove(zone);  // it has returned
   }
   for (const auto& [zone, order] : applied_)
-    if (kept.count(zone) == 0) balancer_.ForgetZone(bench_adapter::IndexOf(names_.zones, zone));
+    if (kept.count(zone) == 0) balancer_.ClearZoneOrder(bench_adapter::IndexOf(names_.zones, zone));
   applied_ = std::move(kept);
   return true;
 }
@@ -92,7 +93,7 @@
   std::string out;
   for (const auto& [zone, order] : applied_) {
     const int number = bench_adapter::IndexOf(names_.zones, zone);
-    const double open = number < 0 ? 1 : balancer_.ZoneOpen(now_(), number);
+    const double open = number < 0 ? 1 : balancer_.ZoneTrafficShare(now_(), number);
     if (open < 1) out += "sidecar.zone." + zone + ".open=" + std::to_string(open) + "\n";
   }
   return out;
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -133,8 +133,8 @@
   config.wire = bench_adapter::ParseSettings(Flatten(json.at("settings")));
   // Clients use a third of the descriptors at most, with one request on a connection.
   const auto connections = static_cast<std::int64_t>(config.sockets / 3);
-  std::int64_t& most_open = config.wire.settings.most_open;
-  most_open = most_open > 0 ? std::min(most_open, connections) : connections;
+  std::int64_t& max_open_requests = config.wire.settings.max_open_requests;
+  max_open_requests = max_open_requests > 0 ? std::min(max_open_requests, connections) : connections;
   config.known = Known(json, config.wire);
   if (config.keeps_list && !config.known.endpoints.empty()) config.known_text = json.at("known").dump();
   return config;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -84,7 +84,7 @@
 Upstream::Limits UpstreamLimits(const Config& config) {
   Upstream::Limits limits;
   limits.keep_idle =
-      static_cast<Micros>(kIdleShare * static_cast<double>(config.wire.settings.connection_idle));
+      static_cast<Micros>(kIdleShare * static_cast<double>(config.wire.settings.connection_idle_timeout));
   limits.dial_timeout = config.wire.settings.dial_timeout;
   limits.connections = DescriptorShares(config).servers;
   return limits;
@@ -277,8 +277,8 @@
   in.request_class = request_class;
   in.tenant = TenantIndex(View(call.head[kTenantHeader]));
   in.budget = budget;
-  in.open = !body->ended();
-  in.repeated = call.head[kRepeatHeader] == "1";
+  in.body_incomplete = !body->ended();
+  in.is_retry = call.head[kRepeatHeader] == "1";
   in.write = call.head.method() != http::verb::get;
   if (const auto cost = ParseNumber(View(call.head[kCostHeader])); cost && *cost >= 0 && *cost < 1e12)
     in.cost = static_cast<Micros>(*cost);
@@ -291,7 +291,7 @@
 // What a body tells may come in the middle of an action of the module's, which must not be called then.
 void Sidecar::FollowBody(const std::string& id, Body& body) {
   body.on_dropped = [this, id] {
-    asio::post(io_, [this, id] { balancer_->OnBodyDropped(NowToDecide(), id); });
+    asio::post(io_, [this, id] { balancer_->OnRequestBodyDiscarded(NowToDecide(), id); });
   };
   body.on_end = [this, id] { asio::post(io_, [this, id] { OnRequestEnded(id); }); };
 }
@@ -309,7 +309,7 @@
     attempt.expires = call.deadline;
   }
   Watch(id, call);
-  balancer_->OnRequestEnded(now, id, call.deadline - now);
+  balancer_->OnRequestBodyComplete(now, id, call.deadline - now);
 }
 
 void Sidecar::OnClientGone(const Inbound::SessionPtr& session) {
@@ -324,7 +324,7 @@
   for (std::size_t i = 0; i < it->second.attempts.size(); ++i)
     if (it->second.attempts[i].out && upstream_.Withdraw(it->second.attempts[i].upstream))
       asio::post(io_, [this, id, number = static_cast<int>(i)] { Conclude(id, number, Result::kNeverSent); });
-  balancer_->OnClientGone(Now(), id);
+  balancer_->OnClientDisconnected(Now(), id);
   EraseIfOver(id);
 }
 
@@ -407,7 +407,7 @@
   if (now >= it->second.deadline && it->second.session != nullptr) {
     // The module ends requests before this. Guards against a client that gets no answer should it not.
     Answer(it->second, Plain(http::status::gateway_timeout, "out of time\n"));
-    balancer_->OnClientGone(now, id);
+    balancer_->OnClientDisconnected(now, id);
     return EraseIfOver(id);
   }
   if (now < it->second.deadline) Watch(id, it->second);
@@ -484,7 +484,7 @@
   asio::post(io_, [this, id, attempt] { Conclude(id, attempt, Result::kCancelled); });
 }
 
-void Sidecar::Refuse(std::string_view request, Micros retry_after) {
+void Sidecar::Reject(std::string_view request, Micros retry_after) {
   const auto it = calls_.find(std::string(request));
   if (it == calls_.end() || it->second.session == nullptr) return;
   HttpResponse response = Plain(http::status::service_unavailable, "refused\n");
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -71,7 +71,7 @@
   void Send(std::string_view request, const std::string& server, Micros timeout,
             Micros begin_within) override;
   void Cancel(std::string_view request, int attempt) override;
-  void Refuse(std::string_view request, Micros retry_after) override;
+  void Reject(std::string_view request, Micros retry_after) override;
   void Fail(std::string_view request) override;
   void SetTimer(Micros delay, std::uint64_t token) override;
   void Subscribe() override;
--- a/src/sidecar/upstream.cpp
+++ b/src/sidecar/upstream.cpp
@@ -36,7 +36,7 @@
 // A server's 503 without the header proves nothing: it may have run.
 Result ResultOf(const Response& response) {
   if (response.result() == http::status::ok) return Result::kSuccess;
-  return Declined(response) ? Result::kRefused : Result::kError;
+  return Declined(response) ? Result::kRejected : Result::kError;
 }
 
 }  // namespace
@@ -132,7 +132,7 @@
   // There is no descriptor for it: the want is ours and says nothing of the server.
   void HoldBack() {
     asio::post(pool_.io_, [self = shared_from_this()] {
-      if (!self->closed_) self->Finish(Result::kHeldBack, /*reuse=*/false);
+      if (!self->closed_) self->Finish(Result::kNoDescriptor, /*reuse=*/false);
     });
   }
 
@@ -472,7 +472,8 @@
   const auto now = Clock::now();
   if (order.begin_within > 0) job.begin_by = now + std::chrono::microseconds(order.begin_within);
   if (runs) job.expires = now + std::chrono::microseconds(order.left);
-  if (open_ >= limits_.connections && !MakeRoom()) return FailLater(std::move(job.events), Result::kHeldBack);
+  if (open_ >= limits_.connections && !MakeRoom())
+    return FailLater(std::move(job.events), Result::kNoDescriptor);
   connection = std::make_shared<Connection>(*this, server);
   ++open_;
   attempts_[attempt] = connection;
--- a/src/sidecar/zone_orders.cpp
+++ b/src/sidecar/zone_orders.cpp
@@ -7,8 +7,8 @@
 namespace violetwing::sidecar {
 
 std::string ToText(const ZoneOrder& order) {
-  return std::string(order.drains ? "drain " : "return ") + std::to_string(order.begun) + " " +
-         std::to_string(order.over) + " " + std::to_string(order.from);
+  return std::string(order.draining ? "drain " : "return ") + std::to_string(order.start) + " " +
+         std::to_string(order.duration) + " " + std::to_string(order.initial_share);
 }
 
 std::optional<ZoneOrder> ParseOrder(const std::string& text) {
@@ -16,10 +16,11 @@
   std::string what;
   std::string more;
   ZoneOrder out;
-  in >> what >> out.begun >> out.over >> out.from;
+  in >> what >> out.start >> out.duration >> out.initial_share;
   if (!in || in >> more || (what != "drain" && what != "return")) return std::nullopt;
-  if (out.begun < 0 || out.over < 0 || !(out.from >= 0 && out.from <= 1)) return std::nullopt;
-  out.drains = what == "drain";
+  if (out.start < 0 || out.duration < 0 || !(out.initial_share >= 0 && out.initial_share <= 1))
+    return std::nullopt;
+  out.draining = what == "drain";
   return out;
 }
 
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -80,13 +80,13 @@
   ASSERT_EQ(sent.size(), 1u);
   EXPECT_EQ(sent[0].kind, Kind::kSend);
   EXPECT_TRUE(Resolve("r1", 0, Result::kSuccess, true).empty());
-  EXPECT_EQ(balancer_->requests_held(), 0u);
+  EXPECT_EQ(balancer_->tracked_requests(), 0u);
 }
 
 TEST_F(BalancerTest, RefusalWaitsThenGoesToAnotherServer) {
   Start(MakeSettings(), 20);
   const std::string first = Arrive("r1")[0].server;
-  const auto wait = Resolve("r1", 0, Result::kRefused);
+  const auto wait = Resolve("r1", 0, Result::kRejected);
   ASSERT_EQ(wait.size(), 1u);
   ASSERT_EQ(wait[0].kind, Kind::kTimer);
   const auto again = Fire(wait[0]);
@@ -98,7 +98,7 @@
 // Else clients find no connection left, and are told nothing.
 TEST_F(BalancerTest, RefusesBeforeAllThatCanBeOpenIsOpen) {
   Settings settings = MakeSettings();
-  settings.most_open = 20;
+  settings.max_open_requests = 20;
   Start(settings, 20);
   Carry(20);
   std::vector<std::string> sent;
@@ -120,7 +120,7 @@
 // The process before it has most of what can be open, until it has answered that.
 TEST_F(BalancerTest, ASuccessorTakesItsShareOfWhatCanBeOpenByAndBy) {
   Settings settings = MakeSettings();
-  settings.most_open = 20;
+  settings.max_open_requests = 20;
   Start(settings, 20);
   const auto servers = MakeServers(20);
   balancer_->OnServers(now_, {ListUpdate::Kind::kStale, 1, servers, /*awaited=*/true});
@@ -130,9 +130,9 @@
     return count;
   };
   EXPECT_EQ(let_in("a"), 3);
-  now_ += settings.classes[0].aim / 2;
+  now_ += settings.classes[0].latency_target / 2;
   EXPECT_EQ(let_in("b"), 7);
-  now_ += settings.classes[0].aim;
+  now_ += settings.classes[0].latency_target;
   EXPECT_EQ(let_in("c"), 7);
 }
 
@@ -144,7 +144,7 @@
   for (int attempt = 0;; ++attempt) {
     ASSERT_EQ(actions.size(), 1u);
     ASSERT_EQ(actions[0].kind, Kind::kSend);
-    actions = Resolve("r1", attempt, Result::kRefused);
+    actions = Resolve("r1", attempt, Result::kRejected);
     ASSERT_EQ(actions.size(), 1u);
     if (attempt == 2) break;
     ASSERT_EQ(actions[0].kind, Kind::kTimer);
@@ -153,14 +153,14 @@
   EXPECT_EQ(actions[0].kind, Kind::kRefuse);
   EXPECT_GT(actions[0].time, 0);
   EXPECT_LE(actions[0].time, settings.max_retry_after);
-  EXPECT_EQ(balancer_->requests_held(), 0u);
+  EXPECT_EQ(balancer_->tracked_requests(), 0u);
 }
 
 TEST_F(BalancerTest, RefusesWhenTheWaitWouldOutrunTheTimeLeft) {
   Start(MakeSettings(), 20);
   Arrive("r1", 0, 6 * kMs);
   now_ += 5 * kMs;
-  const auto end = Resolve("r1", 0, Result::kRefused);
+  const auto end = Resolve("r1", 0, Result::kRejected);
   ASSERT_EQ(end.size(), 1u);
   EXPECT_EQ(end[0].kind, Kind::kRefuse);
 }
@@ -172,7 +172,7 @@
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_EQ(actions[0].kind, Kind::kRefuse);
   EXPECT_LT(now_, 105 * kSec);
-  EXPECT_EQ(balancer_->requests_held(), 0u);
+  EXPECT_EQ(balancer_->tracked_requests(), 0u);
 }
 
 TEST_F(BalancerTest, NeverRepeatsWhatMustNotRunTwice) {
@@ -184,7 +184,7 @@
     EXPECT_EQ(end[0].kind, Kind::kFail);
   }
   for (const Result result :
-       {Result::kUnreachable, Result::kHeldBack}) {  // proven not to have run: may go on
+       {Result::kUnreachable, Result::kNoDescriptor}) {  // proven not to have run: may go on
     Start(MakeSettings(), 20);
     Arrive("r", 2);
     const auto wait = Resolve("r", 0, result);
@@ -196,10 +196,10 @@
 // Met on the first days of two deployments: 'full' was taken as proof where it is none.
 TEST_F(BalancerTest, ARefusalThatProvesNothingNeitherRepeatsNorRefuses) {
   Settings settings = MakeSettings();
-  settings.refused_may_have_run = true;
+  settings.rejected_may_have_run = true;
   Start(settings, 20);
   Arrive("unsafe", 2);
-  const auto end = Resolve("unsafe", 0, Result::kRefused);
+  const auto end = Resolve("unsafe", 0, Result::kRejected);
   ASSERT_EQ(end.size(), 1u);
   EXPECT_EQ(end[0].kind, Kind::kFail);
 }
@@ -207,14 +207,14 @@
 // The window may hold no other server of the group: the retry reaches it outside.
 TEST_F(BalancerTest, ARepeatReachesItsGroupOutsideTheWindow) {
   Settings settings = MakeSettings();
-  settings.refused_may_have_run = true;
+  settings.rejected_may_have_run = true;
   settings.classes[1].group = DedupGroup::kCell;
   auto servers = MakeServers(20);
   for (std::size_t i = 0; i < servers.size(); ++i) servers[i].cell = static_cast<std::int64_t>(i % 10);
   Start(settings, 0);
   List(ListUpdate::Kind::kFull, servers);  // the cell's other server is 10 places on, the window 4 wide
   const std::string first = Arrive("r", 1)[0].server;
-  const auto wait = Resolve("r", 0, Result::kRefused);
+  const auto wait = Resolve("r", 0, Result::kRejected);
   ASSERT_EQ(wait[0].kind, Kind::kTimer);
   const auto again = Fire(wait[0]);
   ASSERT_EQ(again[0].kind, Kind::kSend);
@@ -224,7 +224,7 @@
 TEST_F(BalancerTest, RequestsOfOneKeyGoOneAtATimeInOrder) {
   Settings settings = MakeSettings();
   settings.classes[0].sequential = true;
-  settings.settle_after_doubt = 300 * kMs;
+  settings.sequential_settle_time = 300 * kMs;
   Start(settings, 20);
   EXPECT_EQ(Arrive("a", 0, 5 * kSec, "k")[0].kind, Kind::kSend);
   EXPECT_EQ(Arrive("b", 0, 5 * kSec, "k")[0].kind, Kind::kTimer);
@@ -236,7 +236,7 @@
   EXPECT_EQ(next[0].kind, Kind::kSend);
   EXPECT_EQ(next[0].request, "b");
   // The client of the one in turn leaves: its attempt may be running, and may go on after the reset.
-  balancer_->OnClientGone(now_, "b");
+  balancer_->OnClientDisconnected(now_, "b");
   EXPECT_TRUE(sink_.Take().empty());
   const auto settle = Resolve("b", 0, Result::kReset, true);
   ASSERT_EQ(settle.size(), 1u);
@@ -248,7 +248,7 @@
   Resolve("c", 0, Result::kSuccess, true);
   Resolve("other", 0, Result::kSuccess, true);
   Resolve("free", 0, Result::kSuccess, true);
-  EXPECT_EQ(balancer_->requests_held(), 0u);
+  EXPECT_EQ(balancer_->tracked_requests(), 0u);
 }
 
 TEST_F(BalancerTest, WhoWaitsForATurnIsAnsweredInTime) {
@@ -288,7 +288,7 @@
 TEST_F(BalancerTest, SendsNothingToADrainingOrGoneServer) {
   Start(MakeSettings(), 4);
   Arrive("waits");
-  const auto wait = Resolve("waits", 0, Result::kRefused);
+  const auto wait = Resolve("waits", 0, Result::kRejected);
   auto servers = MakeServers(4);
   servers[0].state = ServerInfo::State::kDraining;
   servers[1].state = ServerInfo::State::kGone;
@@ -422,7 +422,7 @@
 // Met on every overloaded day: all answers late, each retried by its client on top.
 TEST_F(BalancerTest, UnderPressureTheWorkOfLeastWorthIsRefusedFirst) {
   Settings settings = MakeSettings();
-  settings.classes[3].worth = 10;
+  settings.classes[3].value = 10;
   Start(settings, 10);
   std::map<int, int> refused;
   for (int i = 0; i < 600; ++i) {
@@ -452,7 +452,7 @@
 // Met on a quiet day: cheap work was refused all day where idle servers take a fifth of the aim.
 TEST_F(BalancerTest, WhatIdleServersTakeIsNoPressure) {
   Settings settings = MakeSettings();
-  settings.classes[3].worth = 10;
+  settings.classes[3].value = 10;
   Start(settings, 10);
   int refused = 0;
   for (int i = 0; i < 400; ++i) {
@@ -480,8 +480,8 @@
 TEST_F(BalancerTest, OwnZoneFirstWhereCrossingIsPricedAndSpillsUnderPressure) {
   Settings settings = MakeSettings();
   settings.zone = 0;
-  settings.price_crossing = 0.2;
-  settings.classes[0].worth = 0.1;  // less than a crossing costs, the mean being near 1
+  settings.price_cross_zone = 0.2;
+  settings.classes[0].value = 0.1;  // less than a crossing costs, the mean being near 1
   Start(settings, 20);
   std::map<std::string, int> zone;
   for (const ServerInfo& info : MakeServers(20)) zone[info.id] = info.zone;
@@ -519,8 +519,8 @@
     ASSERT_EQ(sent[0].kind, Kind::kSend);
     if (request_class == 2 && sent[0].server == "s01") {
       ++refused;
-      Resolve(id, 0, Result::kRefused);
-      balancer_->OnClientGone(now_, id);
+      Resolve(id, 0, Result::kRejected);
+      balancer_->OnClientDisconnected(now_, id);
     } else {
       others += sent[0].server == "s01";
       Resolve(id, 0, Result::kSuccess, true);
@@ -537,14 +537,14 @@
   settings.cancel = true;
   Start(settings, 4);
   Arrive("r1");
-  balancer_->OnClientGone(now_, "r1");
+  balancer_->OnClientDisconnected(now_, "r1");
   const auto actions = sink_.Take();
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_EQ(actions[0].kind, Kind::kCancel);
-  balancer_->OnClientGone(now_, "r1");
+  balancer_->OnClientDisconnected(now_, "r1");
   EXPECT_TRUE(sink_.Take().empty());  // once
   EXPECT_TRUE(Resolve("r1", 0, Result::kCancelled, true).empty());
-  EXPECT_EQ(balancer_->requests_held(), 0u);
+  EXPECT_EQ(balancer_->tracked_requests(), 0u);
 }
 
 // Met after crashes: the list names a dead server for seconds, and each attempt there is lost.
@@ -558,7 +558,7 @@
     if (server == "s01") {
       ++tried;
       Resolve(id, 0, Result::kUnreachable);
-      balancer_->OnClientGone(now_, id);
+      balancer_->OnClientDisconnected(now_, id);
     } else {
       Resolve(id, 0, Result::kSuccess, true);
     }
@@ -577,11 +577,11 @@
 
 // Met on days of 100 sidecars: each tried a choked server now and then, and together they never let it rest.
 TEST_F(BalancerTest, TheMoreSidecarsShareAServerTheLongerEachEjectsIt) {
-  const auto tries = [&](std::uint32_t siblings, std::uint32_t rank) {  // of s30, which is dead, in 10 s
+  const auto tries = [&](std::uint32_t sidecar_count, std::uint32_t rank) {  // of s30, which is dead, in 10 s
     int count = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       Settings settings = MakeSettings();
-      settings.siblings = siblings;
+      settings.sidecar_count = sidecar_count;
       settings.rank = rank;
       Start(settings, 60, seed);
       for (int i = 0; i < 1000; ++i) {
@@ -643,8 +643,8 @@
     const std::string id = "r" + std::to_string(i);
     const bool held_back = Arrive(id, 2)[0].server == "s01";
     sent += held_back;
-    Resolve(id, 0, held_back ? Result::kHeldBack : Result::kSuccess, !held_back);
-    if (held_back) balancer_->OnClientGone(now_, id);
+    Resolve(id, 0, held_back ? Result::kNoDescriptor : Result::kSuccess, !held_back);
+    if (held_back) balancer_->OnClientDisconnected(now_, id);
   }
   EXPECT_GT(sent, 75);  // its share is 100
 }
@@ -699,7 +699,7 @@
   for (std::uint32_t rank = 0; rank < kSidecars; ++rank) {
     Settings settings = MakeSettings();
     settings.rank = rank;
-    settings.siblings = kSidecars;
+    settings.sidecar_count = kSidecars;
     Start(settings, 60, rank);
     for (int i = 0; i < 20; ++i) {  // in the second before it is seen to hang
       const std::string id = "r" + std::to_string(i);
@@ -728,9 +728,9 @@
 
 TEST_F(BalancerTest, TimesOutAtTheAimOnlyWhereALateAnswerIsWorthNothing) {
   Settings settings = MakeSettings();
-  settings.classes[3].late_worth = 0.25;
+  settings.classes[3].late_value = 0.25;
   Start(settings, 4);
-  EXPECT_EQ(Arrive("r1", 0)[0].time, settings.classes[0].aim);
+  EXPECT_EQ(Arrive("r1", 0)[0].time, settings.classes[0].latency_target);
   EXPECT_EQ(Arrive("r2", 3)[0].time, 0);
 }
 
@@ -765,19 +765,19 @@
 // Met in three incidents: the overload was heard of only when the answers came, seconds after they were late.
 TEST_F(BalancerTest, WhatIsOutPastItsAimIsPressureAtOnce) {
   Settings settings = MakeSettings();
-  settings.classes[2].late_worth = 0.5;
+  settings.classes[2].late_value = 0.5;
   Start(settings, 10);
   std::vector<std::uint64_t> alarms;
   for (int i = 0; i < 12; ++i) {
     Deliver("r" + std::to_string(i), 2);
     for (const Action& action : sink_.Take())
       if (action.kind == Kind::kTimer) {
-        EXPECT_EQ(action.time, settings.classes[2].aim);
+        EXPECT_EQ(action.time, settings.classes[2].latency_target);
         alarms.push_back(action.token);
       }
   }
   ASSERT_EQ(alarms.size(), 12u);
-  now_ += settings.classes[2].aim;
+  now_ += settings.classes[2].latency_target;
   for (const std::uint64_t token : alarms) {
     balancer_->OnTimer(now_, token);
     balancer_->OnTimer(now_, token);  // once
@@ -864,7 +864,7 @@
 // Met on brink days: what hung at silent connections filled all that may be out, and the rest was refused.
 TEST_F(BalancerTest, WhatIsOverdueLeavesRoomForOthers) {
   Settings settings = MakeSettings();
-  settings.classes[2].late_worth = 0.5;
+  settings.classes[2].late_value = 0.5;
   Start(settings, 10);
   std::vector<std::uint64_t> alarms;
   int sent = 0;
@@ -876,7 +876,7 @@
     alarms.push_back(actions[1].token);
   }
   EXPECT_LT(sent, 20);
-  now_ += settings.classes[2].aim;
+  now_ += settings.classes[2].latency_target;
   balancer_->OnTimer(now_, alarms[0]);
   balancer_->OnTimer(now_, alarms[1]);
   sink_.Take();
@@ -907,8 +907,8 @@
 TEST_F(BalancerTest, APoolThatIsSentNothingOpensByItself) {
   Settings settings = MakeSettings();
   settings.zone = 0;
-  settings.price_crossing = 0.2;
-  settings.classes[0].worth = 3;  // comes in the trouble only, and its memory keeps the others from home
+  settings.price_cross_zone = 0.2;
+  settings.classes[0].value = 3;  // comes in the trouble only, and its memory keeps the others from home
   Start(settings, 20);
   int home = 0;
   for (int i = 0; i < 1000; ++i) {
@@ -930,7 +930,7 @@
   for (const double worst_class : {0.0, 0.5}) {
     Settings settings = MakeSettings();
     settings.goal_worst_class = worst_class;
-    settings.classes[0].worth = 3;  // beside one of worth 1 and the same work
+    settings.classes[0].value = 3;  // beside one of worth 1 and the same work
     Start(settings, 10);
     std::map<int, int> sent;
     int all = 0;
@@ -972,7 +972,7 @@
 // Met on slow and ageing days: a server that answers in the end went on getting its share at once.
 TEST_F(BalancerTest, AServerWhereARequestOutlivesItsAimIsEjectedThenTriedOneAtATime) {
   Settings settings = MakeSettings();
-  settings.classes[0].late_worth = 0.5;
+  settings.classes[0].late_value = 0.5;
   Start(settings, 3);
   Carry(60);
   std::string id;
@@ -1041,8 +1041,8 @@
         continue;
       }
       const bool full = all || i % 2 == 0;
-      balancer_->OnOutcome(now_, {id, 0, full ? Result::kRefused : Result::kSuccess, 10 * kMs, !full, {}});
-      if (full) balancer_->OnClientGone(now_, id);
+      balancer_->OnOutcome(now_, {id, 0, full ? Result::kRejected : Result::kSuccess, 10 * kMs, !full, {}});
+      if (full) balancer_->OnClientDisconnected(now_, id);
       sink_.Take();
     }
     if (all) {
@@ -1056,7 +1056,7 @@
 // Met in each overload: what clients had waited for past the aim was served before fresh requests.
 TEST_F(BalancerTest, UnderPressureFreshTriesGoBeforeThoseThatAreLateAlready) {
   Settings settings = MakeSettings();
-  settings.classes[0].late_worth = 0.25;
+  settings.classes[0].late_value = 0.25;
   Start(settings, 10);
   int fresh = 0;
   int late = 0;
@@ -1087,7 +1087,7 @@
   for (std::uint32_t rank = 0; rank < 40; ++rank) {
     Settings settings = MakeSettings();
     settings.rank = rank;
-    settings.siblings = 40;
+    settings.sidecar_count = 40;
     Start(settings, 20, rank);
     Carry(60);
     std::set<std::string> used;
@@ -1109,7 +1109,7 @@
   List(ListUpdate::Kind::kStale, MakeServers(4));
   auto actions = sink_.Take();
   ASSERT_EQ(actions.size(), 1u);
-  EXPECT_LT(actions[0].time, settings.ask_within);
+  EXPECT_LT(actions[0].time, settings.max_subscribe_delay);
   for (int i = 0; i < 20; ++i) {
     ASSERT_EQ(actions[0].kind, Kind::kTimer);
     const auto ask = Fire(actions[0]);
@@ -1118,7 +1118,7 @@
     List(ListUpdate::Kind::kFailed, {});
     actions = sink_.Take();
     ASSERT_EQ(actions.size(), 1u);
-    EXPECT_LE(actions[0].time, settings.ask_within);
+    EXPECT_LE(actions[0].time, settings.max_subscribe_delay);
   }
 }
 
@@ -1128,27 +1128,27 @@
   request.id = "r1";
   request.request_class = 2;
   request.budget = 2 * kSec;
-  request.open = true;
+  request.body_incomplete = true;
   balancer_->OnRequest(now_, request);
   auto actions = sink_.Take();
   ASSERT_EQ(actions.size(), 1u);  // no alarm for its being late
   EXPECT_EQ(actions[0].kind, Kind::kSend);
   now_ += 20 * kSec;
-  balancer_->OnRequestEnded(now_, "r1", 2 * kSec);
+  balancer_->OnRequestBodyComplete(now_, "r1", 2 * kSec);
   actions = sink_.Take();
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_EQ(actions[0].kind, Kind::kTimer);
-  EXPECT_EQ(actions[0].time, MakeSettings().classes[2].aim);
-  EXPECT_EQ(Resolve("r1", 0, Result::kRefused)[0].kind, Kind::kTimer);  // there is time for another try
+  EXPECT_EQ(actions[0].time, MakeSettings().classes[2].latency_target);
+  EXPECT_EQ(Resolve("r1", 0, Result::kRejected)[0].kind, Kind::kTimer);  // there is time for another try
 }
 
 TEST_F(BalancerTest, WhatIsPartlyGoneIsNotRepeated) {
   for (int request_class : {0, 1, 2, 3}) {
     Start(MakeSettings(), 3);
     Deliver("r1", request_class);
-    balancer_->OnBodyDropped(now_, "r1");
+    balancer_->OnRequestBodyDiscarded(now_, "r1");
     sink_.Take();
-    const auto end = Resolve("r1", 0, Result::kRefused);
+    const auto end = Resolve("r1", 0, Result::kRejected);
     ASSERT_EQ(end.size(), 1u);
     EXPECT_EQ(end[0].kind, Kind::kRefuse);  // harmless all the same: it never ran
   }
@@ -1165,7 +1165,7 @@
   }
   EXPECT_EQ(sent, 40);  // 15 without an answer fill it
   for (int i = 0; i < 40; ++i) Resolve("r" + std::to_string(i), 0, Result::kSuccess, true);
-  EXPECT_EQ(balancer_->requests_held(), 0u);
+  EXPECT_EQ(balancer_->tracked_requests(), 0u);
   int more = 0;
   for (int i = 0; i < 100; ++i) more += Arrive("s" + std::to_string(i))[0].kind == Kind::kSend;
   EXPECT_EQ(more, 59);  // ten, 40 for the answers, and the slack
@@ -1178,12 +1178,12 @@
     Request request;
     request.id = id;
     request.budget = 5 * kSec;
-    request.open = true;
+    request.body_incomplete = true;
     balancer_->OnRequest(now_, request);
     EXPECT_EQ(Took()[0].kind, Kind::kSend);
   }
   EXPECT_EQ(Arrive("s1")[0].kind, Kind::kSend);
-  for (int i = 0; i < 14; ++i) balancer_->OnRequestEnded(now_, "r" + std::to_string(i), 5 * kSec);
+  for (int i = 0; i < 14; ++i) balancer_->OnRequestBodyComplete(now_, "r" + std::to_string(i), 5 * kSec);
   sink_.Take();
   EXPECT_EQ(Arrive("s2")[0].kind, Kind::kTimer);  // full now, and it waits
   for (int i = 0; i < 40; ++i) Resolve("r" + std::to_string(i), 0, Result::kSuccess, true);
@@ -1215,15 +1215,15 @@
   EXPECT_EQ(used("c"), (std::set<std::string>{"s00", "s02"}));
   balancer_->Enable(now_, "s01");
   EXPECT_EQ(used("d").size(), 3u);
-  EXPECT_TRUE(balancer_->EverListed("s01"));
-  EXPECT_FALSE(balancer_->EverListed("s09"));
+  EXPECT_TRUE(balancer_->WasListed("s01"));
+  EXPECT_FALSE(balancer_->WasListed("s09"));
 }
 
 TEST_F(BalancerTest, ARetryKeepsClearOfAServerTakenOutMeanwhile) {
   Start(MakeSettings(), 2);
   const std::string first = Arrive("r1")[0].server;
   const std::string other = first == "s00" ? "s01" : "s00";
-  const auto wait = Resolve("r1", 0, Result::kRefused);
+  const auto wait = Resolve("r1", 0, Result::kRejected);
   balancer_->Disable(now_, other);
   const auto again = Fire(wait[0]);
   ASSERT_EQ(again.size(), 1u);
@@ -1239,7 +1239,7 @@
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_EQ(actions[0].kind, Kind::kRefuse);
   EXPECT_GT(actions[0].time, 0);
-  actions = Resolve("r1", 0, Result::kRefused);  // it is not left to wait
+  actions = Resolve("r1", 0, Result::kRejected);  // it is not left to wait
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_EQ(actions[0].kind, Kind::kRefuse);
 }
@@ -1258,9 +1258,9 @@
 TEST_F(BalancerTest, AFreshStartAsksSoonAndNotAllAtOnce) {
   Settings settings = MakeSettings();
   settings.must_subscribe = true;
-  settings.ask_within = 40 * kSec;
+  settings.max_subscribe_delay = 40 * kSec;
   std::string error;
-  Micros least = settings.ask_within;
+  Micros least = settings.max_subscribe_delay;
   Micros most = 0;
   for (std::uint64_t seed = 0; seed < 100; ++seed) {
     balancer_ = Balancer::Create(settings, seed, now_, sink_, error);
@@ -1279,7 +1279,7 @@
 TEST_F(BalancerTest, ACallToDiscoveryBeginsSoonAfterTheOneBeforeHoweverThatEnds) {
   Settings settings = MakeSettings();
   settings.must_subscribe = true;
-  settings.ask_within = 40 * kSec;
+  settings.max_subscribe_delay = 40 * kSec;
   std::string error;
   for (const Micros lasts : {0 * kSec, 1 * kSec, 4 * kSec}) {  // refused at once, after a wait, given up
     balancer_ = Balancer::Create(settings, 7, now_, sink_, error);
@@ -1322,36 +1322,37 @@
 
 TEST_F(BalancerTest, IgnoresWhatItDoesNotKnow) {
   Start(MakeSettings(), 4);
-  EXPECT_TRUE(Resolve("nobody", 0, Result::kRefused).empty());
+  EXPECT_TRUE(Resolve("nobody", 0, Result::kRejected).empty());
   Arrive("r1");
-  EXPECT_TRUE(Resolve("r1", 3, Result::kRefused).empty());
-  EXPECT_TRUE(Resolve("r1", -1, Result::kRefused).empty());
+  EXPECT_TRUE(Resolve("r1", 3, Result::kRejected).empty());
+  EXPECT_TRUE(Resolve("r1", -1, Result::kRejected).empty());
   EXPECT_TRUE(Arrive("r1").empty());
   balancer_->OnTimer(now_, 999);
-  balancer_->OnClientGone(now_, "nobody");
+  balancer_->OnClientDisconnected(now_, "nobody");
   balancer_->OnResponseStarted(now_, "nobody", 0);
   EXPECT_TRUE(sink_.Take().empty());
   EXPECT_EQ(Arrive("r2", 99)[0].kind, Kind::kFail);
-  EXPECT_EQ(Resolve("r1", 0, Result::kRefused).size(), 1u);
-  EXPECT_TRUE(Resolve("r1", 0, Result::kRefused).empty());  // a second time
+  EXPECT_EQ(Resolve("r1", 0, Result::kRejected).size(), 1u);
+  EXPECT_TRUE(Resolve("r1", 0, Result::kRejected).empty());  // a second time
 }
 
 TEST_F(BalancerTest, ForgetsARequestWhoseClientHasGoneOnceItsAttemptIsResolved) {
   Start(MakeSettings(), 4);
   Arrive("r1");
-  balancer_->OnClientGone(now_, "r1");
-  EXPECT_EQ(balancer_->requests_held(), 1u);
+  balancer_->OnClientDisconnected(now_, "r1");
+  EXPECT_EQ(balancer_->tracked_requests(), 1u);
   EXPECT_TRUE(Resolve("r1", 0, Result::kReset).empty());
-  EXPECT_EQ(balancer_->requests_held(), 0u);
+  EXPECT_EQ(balancer_->tracked_requests(), 0u);
 }
 
 TEST(BalancerSettings, RejectsWhatMakesNoSense) {
   const std::vector<std::pair<std::string, void (*)(Settings&)>> cases = {
       {"no request classes", [](Settings& s) { s.classes.clear(); }},
       {"negative time in class c", [](Settings& s) { s.classes[1].deadline = -1; }},
-      {"unknown repeat kind in class c", [](Settings& s) { s.classes[0].repeat = static_cast<Repeat>(9); }},
+      {"unknown repeat kind in class c",
+       [](Settings& s) { s.classes[0].retry_safety = static_cast<RetrySafety>(9); }},
       {"max_attempts under 1", [](Settings& s) { s.max_attempts = 0; }},
-      {"rank outside the number of sidecars", [](Settings& s) { s.rank = s.siblings; }},
+      {"rank outside the number of sidecars", [](Settings& s) { s.rank = s.sidecar_count; }},
       {"cold_share outside (0, 1]", [](Settings& s) { s.cold_share = 0; }},
       {"negative time", [](Settings& s) { s.warm_after = -1; }},
   };
--- a/tests/balancer/harness.hpp
+++ b/tests/balancer/harness.hpp
@@ -32,7 +32,7 @@
   void Cancel(std::string_view request, int attempt) override {
     actions.push_back({Action::Kind::kCancel, std::string(request), "", attempt});
   }
-  void Refuse(std::string_view request, Micros retry_after) override {
+  void Reject(std::string_view request, Micros retry_after) override {
     actions.push_back({Action::Kind::kRefuse, std::string(request), "", retry_after});
   }
   void Fail(std::string_view request) override {
@@ -50,12 +50,12 @@
   std::vector<Action> actions;
 };
 
-inline RequestClass MakeClass(Repeat repeat, DedupGroup group = DedupGroup::kAll) {
+inline RequestClass MakeClass(RetrySafety retry_safety, DedupGroup group = DedupGroup::kAll) {
   RequestClass c;
   c.name = "c";
-  c.aim = 1 * kSec;
+  c.latency_target = 1 * kSec;
   c.deadline = 5 * kSec;
-  c.repeat = repeat;
+  c.retry_safety = retry_safety;
   c.group = group;
   c.dedup_window = 3 * kSec;
   return c;
@@ -64,16 +64,16 @@
 // Classes 0, 1 and 2: safe, deduplicated in the zone, never to be repeated. 3: deduplicated everywhere.
 inline Settings MakeSettings() {
   Settings s;
-  s.classes = {MakeClass(Repeat::kSafe), MakeClass(Repeat::kDeduplicated, DedupGroup::kZone),
-               MakeClass(Repeat::kNever), MakeClass(Repeat::kDeduplicated)};
+  s.classes = {MakeClass(RetrySafety::kSafe), MakeClass(RetrySafety::kDeduplicated, DedupGroup::kZone),
+               MakeClass(RetrySafety::kNever), MakeClass(RetrySafety::kDeduplicated)};
   s.max_attempts = 5;
   s.max_retry_after = 2 * kSec;
   s.drain_grace = 500 * kMs;
   s.cold_share = 0.25;
   s.warm_after = 8 * kSec;
   s.overload_factor = 4;
-  s.fall_window = 2 * kSec;
-  s.ask_within = 10 * kSec;
+  s.overload_window = 2 * kSec;
+  s.max_subscribe_delay = 10 * kSec;
   s.tick = 5 * kMs;
   return s;
 }
--- a/tests/balancer/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -43,10 +43,11 @@
     Seen& seen = requests_.at(id);
     Try& tried = seen.tries.at(static_cast<std::size_t>(attempt));
     tried.out = false;
-    tried.ran = (result != Result::kRefused || set_.refused_may_have_run) && result != Result::kUnreachable &&
-                result != Result::kNeverSent && result != Result::kHeldBack;
+    tried.ran = (result != Result::kRejected || set_.rejected_may_have_run) &&
+                result != Result::kUnreachable && result != Result::kNeverSent &&
+                result != Result::kNoDescriptor;
     if (result == Result::kTimeout || result == Result::kReset || result == Result::kCancelled)
-      seen.settled_at = now + set_.settle_after_doubt;
+      seen.settled_at = now + set_.sequential_settle_time;
     if (settled) seen.ended = true;
   }
   void Gone(const std::string& id) { requests_.at(id).ended = true; }
@@ -79,8 +80,8 @@
         if (!earlier.ended) Breach("sent before an earlier one of the key was over");
         if (now < earlier.settled_at) Breach("sent before the key had settled");
       }
-      if (ran != nullptr && c.repeat == Repeat::kNever) Breach("an effect may happen twice");
-      if (ran != nullptr && c.repeat == Repeat::kDeduplicated) {
+      if (ran != nullptr && c.retry_safety == RetrySafety::kNever) Breach("an effect may happen twice");
+      if (ran != nullptr && c.retry_safety == RetrySafety::kDeduplicated) {
         if (now >= ran->sent + c.dedup_window) Breach("repeated after the window");
         if (action.begin_within <= 0 || now + action.begin_within > ran->sent + c.dedup_window)
           Breach("may begin after the window");
@@ -93,8 +94,8 @@
       return;
     }
     if (now > seen.deadline + slack_) Breach("answered late");
-    if (action.kind == Kind::kRefuse && ran != nullptr && c.repeat != Repeat::kSafe &&
-        !(c.repeat == Repeat::kDeduplicated && c.group == DedupGroup::kAll))
+    if (action.kind == Kind::kRefuse && ran != nullptr && c.retry_safety != RetrySafety::kSafe &&
+        !(c.retry_safety == RetrySafety::kDeduplicated && c.group == DedupGroup::kAll))
       Breach("refused what may have run");
     seen.ended = true;
   }
@@ -207,9 +208,9 @@
         balancer->OnTimer(now, next.action.token);
       } else {
         static constexpr Result kResults[] = {Result::kSuccess,   Result::kSuccess,     Result::kSuccess,
-                                              Result::kRefused,   Result::kRefused,     Result::kError,
+                                              Result::kRejected,  Result::kRejected,    Result::kError,
                                               Result::kReset,     Result::kUnreachable, Result::kTimeout,
-                                              Result::kCancelled, Result::kHeldBack};
+                                              Result::kCancelled, Result::kNoDescriptor};
         const std::string& id = next.action.request;
         const Result result = next.at >= deadline[id] ? Result::kTimeout : kResults[below(11)];
         if (result == Result::kSuccess) settled.insert(id);
@@ -243,7 +244,7 @@
       const std::string& id = alive[static_cast<std::size_t>(below(static_cast<int>(alive.size())))];
       if (settled.insert(id).second) {
         checker.Gone(id);
-        balancer->OnClientGone(now, id);
+        balancer->OnClientDisconnected(now, id);
         collect();
       }
     } else {
@@ -277,7 +278,7 @@
   }
   checker.Finish();
   story.breaches = checker.breaches();
-  story.held = balancer->requests_held();
+  story.held = balancer->tracked_requests();
   return story;
 }
 
@@ -286,21 +287,21 @@
   Settings ask = MakeSettings();
   ask.must_subscribe = true;
   ask.zone = 0;
-  ask.price_crossing = 0.2;
-  for (RequestClass& c : ask.classes) c.worth = 3;
+  ask.price_cross_zone = 0.2;
+  for (RequestClass& c : ask.classes) c.value = 3;
   Settings cell = MakeSettings();
   cell.classes[1].group = DedupGroup::kCell;
   cell.max_attempts = 2;
   cell.max_retry_after = 0;
   Settings full = MakeSettings();
-  full.refused_may_have_run = true;
+  full.rejected_may_have_run = true;
   Settings order = MakeSettings();
-  order.settle_after_doubt = 40 * kMs;
+  order.sequential_settle_time = 40 * kMs;
   order.classes[0].sequential = order.classes[1].sequential = order.classes[2].sequential = true;
   Settings both = order;
-  both.refused_may_have_run = true;
+  both.rejected_may_have_run = true;
   both.classes[1].group = DedupGroup::kCell;
-  both.settle_after_doubt = 0;
+  both.sequential_settle_time = 0;
   both.must_subscribe = true;
   return {push, ask, cell, full, order, both};
 }
@@ -359,10 +360,10 @@
 // The further rules: a module that is not told of them (the settings are kept from it) breaks each.
 TEST(Rules, TheCheckerSeesWhatAModuleWithoutTheFurtherRulesBreaks) {
   Settings both = Variants().back();
-  both.settle_after_doubt = 500 * kMs;
+  both.sequential_settle_time = 500 * kMs;
   Settings untold = both;
-  untold.refused_may_have_run = false;
-  untold.settle_after_doubt = 0;
+  untold.rejected_may_have_run = false;
+  untold.sequential_settle_time = 0;
   std::set<std::string> all = Breaches(untold, nullptr, &both);
   EXPECT_TRUE(all.count("refused what may have run"));
   EXPECT_TRUE(all.count("an effect may happen twice"));
--- a/tests/balancer/zones_test.cpp
+++ b/tests/balancer/zones_test.cpp
@@ -88,7 +88,7 @@
   Start(8);  // the window holds three of them: s00, s01, s02
   const double before = ShareOfZoneOne(3000);
   EXPECT_NEAR(before, 1.0 / 3, 0.05);
-  balancer->OrderZone(now, 1, {true, now, 10 * kSec, 1});
+  balancer->SetZoneOrder(now, 1, {true, now, 10 * kSec, 1});
   now += 5 * kSec;
   const double half = ShareOfZoneOne(3000);
   EXPECT_GT(half, 0.1);
@@ -108,7 +108,7 @@
     balancer->OnOutcome(now, {id, 0, Result::kSuccess, 10'000, true});
   }
   EXPECT_EQ(used, (std::set<std::string>{"s00", "s02", "s04"}));
-  balancer->OrderZone(now, 1, {false, now, 8 * kSec, 0});
+  balancer->SetZoneOrder(now, 1, {false, now, 8 * kSec, 0});
   const double first = ShareOfZoneOne(3000);
   EXPECT_GT(first, 0.01);
   EXPECT_LT(first, 0.12);
@@ -119,11 +119,11 @@
 
 TEST_F(ZoneDrainTest, WithAllOutByHandARequestIsAnsweredAtOnce) {
   Start(2);
-  EXPECT_TRUE(balancer->AnyElsewhere(1));
-  balancer->OrderZone(now, 1, {true, now, 0, 1});
-  EXPECT_FALSE(balancer->AnyElsewhere(0));
+  EXPECT_TRUE(balancer->HasUsableServerOutside(1));
+  balancer->SetZoneOrder(now, 1, {true, now, 0, 1});
+  EXPECT_FALSE(balancer->HasUsableServerOutside(0));
   EXPECT_EQ(ShareOfZoneOne(10), 0);
-  balancer->OrderZone(now, 0, {true, now, 0, 1});
+  balancer->SetZoneOrder(now, 0, {true, now, 0, 1});
   Request request;
   request.id = "last";
   request.budget = 5 * kSec;
@@ -135,16 +135,16 @@
 
 TEST_F(ZoneDrainTest, WhatIsOutInTheZoneFinishesAndIsRepeatedElsewhere) {
   Start(2);
-  balancer->OrderZone(now, 0, {true, now, 0, 1});
+  balancer->SetZoneOrder(now, 0, {true, now, 0, 1});
   Request request;
   request.id = "r";
   request.budget = 5 * kSec;
   balancer->OnRequest(now, request);
   auto actions = sink.Take();
   ASSERT_EQ(actions[0].server, "s01");
-  balancer->OrderZone(now, 0, {false, now, 0, 0});
-  balancer->OrderZone(now, 1, {true, now, 0, 1});
-  balancer->OnOutcome(now, {"r", 0, Result::kRefused, 10'000, false});
+  balancer->SetZoneOrder(now, 0, {false, now, 0, 0});
+  balancer->SetZoneOrder(now, 1, {true, now, 0, 1});
+  balancer->OnOutcome(now, {"r", 0, Result::kRejected, 10'000, false});
   actions = sink.Take();
   ASSERT_EQ(actions[0].kind, Kind::kTimer);
   now += actions[0].time;
--- a/tests/bench_adapter/wire_test.cpp
+++ b/tests/bench_adapter/wire_test.cpp
@@ -161,24 +161,24 @@
           "goal.worst_window=0.8 goal.worst_class=0.9 goal.worst_tenant=0.25 grades.count=1 grades.0.name=a "
           "grades.0.repeat=idempotent grades.0.sequential=true")
           .settings;
-  EXPECT_EQ(s.connection_idle, 5);
+  EXPECT_EQ(s.connection_idle_timeout, 5);
   EXPECT_EQ(s.dial_timeout, 6);
-  EXPECT_EQ(s.most_open, 7);
+  EXPECT_EQ(s.max_open_requests, 7);
   EXPECT_EQ(s.cpu_per_s, 8);
   EXPECT_EQ(s.cpu_per_request, 9.5);
-  EXPECT_TRUE(s.clients_mark_repeats);
+  EXPECT_TRUE(s.clients_mark_retries);
   EXPECT_EQ(s.reports, Settings::Reports::kInAnswers);
   EXPECT_EQ(s.report_fields, (std::vector<std::string>{"busy_reqs", "svc_ms"}));
   EXPECT_EQ(s.weights, Settings::Weights::kLive);
-  EXPECT_TRUE(s.refused_may_have_run);
-  EXPECT_EQ(s.settle_after_doubt, 10);
+  EXPECT_TRUE(s.rejected_may_have_run);
+  EXPECT_EQ(s.sequential_settle_time, 10);
   EXPECT_EQ(s.price_handshake, 0.1);
   EXPECT_EQ(s.price_probe, 0.2);
   EXPECT_EQ(s.price_peer, 0.3);
   EXPECT_EQ(s.price_discovery, 0.4);
   EXPECT_EQ(s.price_moves, 0.5);
   EXPECT_EQ(s.price_origin, 0.6);
-  EXPECT_EQ(s.goal_whole, 0.7);
+  EXPECT_EQ(s.goal_total, 0.7);
   EXPECT_EQ(s.goal_worst_window, 0.8);
   EXPECT_EQ(s.goal_worst_class, 0.9);
   EXPECT_EQ(s.goal_worst_tenant, 0.25);
--- a/tests/sidecar/by_hand_test.cpp
+++ b/tests/sidecar/by_hand_test.cpp
@@ -67,14 +67,14 @@
   EXPECT_EQ(one.by_hand.OrderZone("west", true, 0), Admin::Verdict::kLast);
   EXPECT_EQ(one.by_hand.OrderZone("east", false, 0), Admin::Verdict::kDone);
   now += 15 * kSec;
-  EXPECT_TRUE(RunUntil(io, [&] { return other.balancer->ZoneOpen(now, 1) == 0.75; }));
+  EXPECT_TRUE(RunUntil(io, [&] { return other.balancer->ZoneTrafficShare(now, 1) == 0.75; }));
   EXPECT_EQ(other.by_hand.Figures(), "sidecar.zone.west.open=0.750000\n");
   now += 15 * kSec;
   Process next(*this);  // after both are gone
   next.by_hand.Follow();
-  EXPECT_DOUBLE_EQ(next.balancer->ZoneOpen(now, 1), 0.5);
+  EXPECT_DOUBLE_EQ(next.balancer->ZoneTrafficShare(now, 1), 0.5);
   EXPECT_EQ(next.by_hand.OrderZone("west", false, 8 * kSec), Admin::Verdict::kDone);
-  EXPECT_DOUBLE_EQ(next.balancer->ZoneOpen(now, 1), 0.5625);  // from where it was
+  EXPECT_DOUBLE_EQ(next.balancer->ZoneTrafficShare(now, 1), 0.5625);  // from where it was
   now += 8 * kSec;
   EXPECT_TRUE(RunUntil(io, [&] { return fs::is_empty(directory); }));  // nothing is left of it
   EXPECT_TRUE(RunUntil(io, [&] { return other.by_hand.Figures().empty(); }));
@@ -88,7 +88,7 @@
   RunFor(io, 500ms);
   const std::string said = ::testing::internal::GetCapturedStderr();
   EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1) << said;
-  EXPECT_EQ(one.balancer->ZoneOpen(now, 1), 1);
+  EXPECT_EQ(one.balancer->ZoneTrafficShare(now, 1), 1);
 }
 
 }  // namespace
--- a/tests/sidecar/config_test.cpp
+++ b/tests/sidecar/config_test.cpp
@@ -51,7 +51,7 @@
   EXPECT_EQ(config.seed, 0x8c1f30d27a5be964U);
   EXPECT_EQ(config.sockets, 1024U);
   ASSERT_EQ(config.wire.settings.classes.size(), 3U);
-  EXPECT_EQ(config.wire.settings.classes[2].repeat, Repeat::kNever);
+  EXPECT_EQ(config.wire.settings.classes[2].retry_safety, RetrySafety::kNever);
   EXPECT_EQ(config.wire.settings.dial_timeout, 250'000);
   EXPECT_EQ(config.wire.settings.zone, 0);
   ASSERT_EQ(config.known.endpoints.size(), 1U);
--- a/tests/sidecar/stored_names_test.cpp
+++ b/tests/sidecar/stored_names_test.cpp
@@ -45,10 +45,10 @@
   std::map<std::string, ZoneOrder> orders;
   ASSERT_TRUE(ZoneOrders(directory).Read(orders));
   ASSERT_EQ(orders.count("west"), 1U);
-  EXPECT_TRUE(orders["west"].drains);
-  EXPECT_EQ(orders["west"].begun, 1764628000000000);
-  EXPECT_EQ(orders["west"].over, 60000000);
-  EXPECT_EQ(orders["west"].from, 0.5);
+  EXPECT_TRUE(orders["west"].draining);
+  EXPECT_EQ(orders["west"].start, 1764628000000000);
+  EXPECT_EQ(orders["west"].duration, 60000000);
+  EXPECT_EQ(orders["west"].initial_share, 0.5);
 }
 
 TEST_F(StoredNamesTest, ReadsTheLastListOfTheEarlierVersion) {
--- a/tests/sidecar/upstream_test.cpp
+++ b/tests/sidecar/upstream_test.cpp
@@ -64,8 +64,8 @@
 TEST_F(UpstreamTest, StatusesMeanWhatTheProtocolSays) {
   EXPECT_EQ(TryReply(Reply("200 OK", "hello")), Result::kSuccess);
   EXPECT_EQ(answers.back().body->From(0), "hello");
-  EXPECT_EQ(TryReply(Reply("503 Service Unavailable", "", "Srv-Declined: 1\r\n")), Result::kRefused);
-  EXPECT_EQ(TryReply(Reply("504 Gateway Timeout", "", "Srv-Declined: 1\r\n")), Result::kRefused);
+  EXPECT_EQ(TryReply(Reply("503 Service Unavailable", "", "Srv-Declined: 1\r\n")), Result::kRejected);
+  EXPECT_EQ(TryReply(Reply("504 Gateway Timeout", "", "Srv-Declined: 1\r\n")), Result::kRejected);
   EXPECT_EQ(TryReply(Reply("503 Service Unavailable", "")), Result::kError);
   EXPECT_EQ(TryReply(Reply("504 Gateway Timeout", "")), Result::kError);
   EXPECT_EQ(TryReply(Reply("500 Internal Server Error", "")), Result::kError);
@@ -450,7 +450,7 @@
   Send("s2");  // the idle one makes room
   ASSERT_TRUE(RunUntil(io, [&] { return two.requests() == 1; }));
   EXPECT_EQ(upstream().open_connections(), 1U);
-  EXPECT_EQ(Try(), Result::kHeldBack);  // all are at work, and that is not the server's fault
+  EXPECT_EQ(Try(), Result::kNoDescriptor);  // all are at work, and that is not the server's fault
   EXPECT_EQ(one.requests(), 1);
 }
 
