--- a/examples/main.cpp
+++ b/examples/main.cpp
@@ -1,5 +1,5 @@
-// The whole of it in one file: settings, events in, actions out. Plays a sidecar with four servers, the
-// first of which turns every request away.
+// Minimal use of the library: settings, events in, actions out. Simulates a sidecar with four servers, the
+// first of which rejects every request.
 #include <cstdio>
 #include <map>
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace {
 
-// A real caller sends here; this one notes what it is asked to do.
+// Records the actions; a real caller carries them out.
 class Sink : public violetwing::balancer::ActionSink {
  public:
   void Send(std::string_view request, const std::string& server, violetwing::balancer::Micros,
@@ -19,7 +19,7 @@
   }
   void Cancel(std::string_view, int) override {}
   void Reject(std::string_view request, violetwing::balancer::Micros after) override {
-    std::printf("refuse  %s, back after %lld us\n", std::string(request).c_str(),
+    std::printf("reject  %s, retry after %lld us\n", std::string(request).c_str(),
                 static_cast<long long>(after));
   }
   void Fail(std::string_view request) override { std::printf("fail    %s\n", std::string(request).c_str()); }
@@ -46,7 +46,7 @@
 
   Sink sink;
   std::string error;
-  Micros now = 1'000'000;  // any monotonic count of microseconds
+  Micros now = 1'000'000;  // any monotonic clock in microseconds
   const auto balancer = Balancer::Create(settings, /*seed=*/1, now, sink, error);
   if (balancer == nullptr) {
     std::fprintf(stderr, "settings: %s\n", error.c_str());
@@ -72,7 +72,7 @@
       outcome.attempt = attempt;
       outcome.elapsed = 20'000;
       outcome.result = server == servers[0].id ? Result::kRejected : Result::kSuccess;
-      outcome.settled = outcome.result == Result::kSuccess;  // a success reaches the client and ends it
+      outcome.settled = outcome.result == Result::kSuccess;  // a success is the final response
       served += outcome.settled;
       now += outcome.elapsed;
       balancer->OnOutcome(now, outcome);
@@ -80,6 +80,6 @@
         balancer->OnTimer(now += delay, token);
     }
   }
-  std::printf("%d of 8 served, %zu held\n", served, balancer->tracked_requests());
+  std::printf("%d of 8 served, %zu still tracked\n", served, balancer->tracked_requests());
   return served == 8 && balancer->tracked_requests() == 0 ? 0 : 1;
 }
--- a/src/balancer/admission.hpp
+++ b/src/balancer/admission.hpp
@@ -1,5 +1,5 @@
-// Admission: which work is let in under pressure, and what outcomes tell of the pressure. A part of the
-// decision module.
+// Admission control of the decision module: which requests are admitted under overload, and how outcomes
+// adjust the admitted share and the concurrency limit.
 #ifndef VIOLETWING_BALANCER_ADMISSION_HPP_
 #define VIOLETWING_BALANCER_ADMISSION_HPP_
 
@@ -14,49 +14,52 @@
 
 class Admission {
  public:
-  // Keeps references: both must outlive it.
+  // Keeps references to both arguments, which must outlive it.
   Admission(const Settings& settings, Random& random);
 
   void CountArrival(Micros now, std::size_t request_class, std::optional<Micros> cost);
-  // A request that has arrived has its final answer, which is worth that share of the whole.
-  void CountEnd(std::size_t request_class, double worth_share);
-  // Another process came before this one, and may still serve when this one begins to.
-  void Succeed() { succeeds_ = true; }
-  // Whether so many requests are open that clients may soon find no connection for the next.
-  bool Crowded(Micros now) const;
-  // Whether a request of that class is let in; `late` ones have waited past their aim already.
+  // Counts the end of a request that arrived. `value_share` is the fraction of its value that its final
+  // response earned.
+  void CountCompletion(std::size_t request_class, double value_share);
+  // This process takes over from a predecessor, which may still be serving requests.
+  void SetTakeover() { takeover_ = true; }
+  // Whether so many requests are open that clients may soon run out of connections.
+  bool TooManyOpen(Micros now) const;
+  // Whether a request of the class is admitted. A `late` one has exceeded its latency target already.
   bool Admits(const Pool& pool, std::size_t request_class, bool late);
-  // How many attempts may be out at the pool's servers together.
-  double MostOut(const Pool& pool) const;
-  bool HasRoom(const Pool& pool) const;  // whether one more may be
-  // To be called now and then: ends the window over which the pool's answers are counted when its time is
-  // over.
-  void CountWindow(Pool& pool, Micros now);
-  // A crossing has to be worth its price: requests of least worth stay at home or are refused.
-  bool WorthCrossing(std::size_t request_class) const;
-  // What an outcome tells of the pressure on the servers.
-  void Feel(Pool& pool, std::size_t request_class, const Outcome& outcome, Micros since_arrival,
-            const Server& server);
+  // The maximum number of attempts in flight to the pool's servers together.
+  double ConcurrencyLimit(const Pool& pool) const;
+  bool BelowLimit(const Pool& pool) const;
+  // Ends the pool's measurement window when its time has passed. Called at each arrival.
+  void UpdateWindow(Pool& pool, Micros now);
+  // Whether a request of the class is worth the price of a server in another zone. Requests of the lowest
+  // value are served in their own zone or rejected.
+  bool WorthCrossZone(std::size_t request_class) const;
+  // Adjusts the pool's admitted share and the class's latencies by the outcome of an attempt.
+  void RecordOutcome(Pool& pool, std::size_t request_class, const Outcome& outcome, Micros since_arrival,
+                     const Server& server);
 
  private:
-  double Arriving(double value) const;
-  // The time of an answer of that class at which no more is to be let in.
-  double Target(std::size_t request_class) const;
-  void Learn(std::size_t request_class, double elapsed, bool all_in);
-  double Worth(std::size_t request_class) const;
-  double Value(std::size_t request_class) const;
+  // Recently arrived work whose value per unit of work exceeds `value`.
+  double ArrivingWork(double value) const;
+  // The response time above which the admitted share falls.
+  double TargetLatency(std::size_t request_class) const;
+  void UpdateLatency(std::size_t request_class, double elapsed, bool all_admitted);
+  double RequestValue(std::size_t request_class) const;
+  // The gain of the result for a unit of the class's work.
+  double ValuePerWork(std::size_t request_class) const;
 
-  const Settings& set_;
+  const Settings& settings_;
   Random& random_;
-  std::vector<ClassLoad> load_;  // by class
-  std::size_t worst_ = 0;        // the class that is served worst
-  Micros window_ = 1000 * 1000;  // over which answers are counted: the shortest aim, a second at most
-  double arrivals_ = 0;          // over which it is averaged
-  double mean_worth_ = 0;        // of an arriving request
-  std::size_t open_ = 0;         // requests without their final answer
-  Micros first_arrival_ = 0;     // of a request; 0 = none yet
-  bool succeeds_ = false;
-  bool hinted_ = false;  // requests carry their expected work
+  std::vector<ClassLoad> class_load_;  // by class
+  std::size_t worst_class_ = 0;        // the class with the lowest served share
+  Micros window_ = 1000 * 1000;        // measurement window: the shortest latency target, 1 s at most
+  double arrival_count_ = 0;           // arrivals that mean_value_ is averaged over
+  double mean_value_ = 0;              // of the arriving requests
+  std::size_t open_requests_ = 0;      // requests without a final response
+  Micros first_arrival_ = 0;           // 0 = none yet
+  bool takeover_ = false;
+  bool has_cost_hints_ = false;  // requests state their expected work
 };
 
 }  // namespace violetwing::balancer
--- a/src/balancer/settings.hpp
+++ b/src/balancer/settings.hpp
@@ -1,4 +1,4 @@
-// What a deployment's settings have to satisfy. No decision is taken here.
+// Validation of a deployment's settings.
 #ifndef VIOLETWING_BALANCER_SETTINGS_HPP_
 #define VIOLETWING_BALANCER_SETTINGS_HPP_
 
@@ -8,8 +8,8 @@
 
 namespace violetwing::balancer {
 
-// Empty if they make sense.
-std::string WhatIsWrong(const Settings& settings);
+// Returns the reason why the settings are invalid, or an empty string if they are valid.
+std::string ValidateSettings(const Settings& settings);
 
 }  // namespace violetwing::balancer
 
--- a/src/balancer/zones.hpp
+++ b/src/balancer/zones.hpp
@@ -1,4 +1,5 @@
-// Zones taken out by hand and brought back: how far each is open at a moment. docs/zones.md has the reasons.
+// Zones that operators drain and return to service: the share of traffic that each zone gets over time. See
+// docs/zones.md for the reasons.
 #ifndef VIOLETWING_BALANCER_ZONES_HPP_
 #define VIOLETWING_BALANCER_ZONES_HPP_
 
@@ -11,24 +12,24 @@
 
 class Zones {
  public:
-  // The latest order for a zone holds; a return that has come to its end is forgotten by itself.
-  void Order(int zone, const ZoneOrder& order);
-  void Forget(int zone);
+  // Replaces the zone's earlier order. A return to service is dropped once it is complete.
+  void SetOrder(int zone, const ZoneOrder& order);
+  void ClearOrder(int zone);
 
-  // The share of its usual part that a zone gets: 1 if there is no order, 0 = nothing new.
-  double Open(int zone, Micros now) const;
-  // Whether a draw of a server there is to be taken.
-  bool Takes(int zone, Micros now, Random& random) const;
-  // Whether a zone has closed or opened since this was last asked: the rings are others then.
-  bool Turned(Micros now);
+  // The zone's share of its usual traffic: 1 without an order, 0 = no new requests.
+  double TrafficShare(int zone, Micros now) const;
+  // Whether a random choice of a server in the zone is accepted. True with probability TrafficShare().
+  bool AcceptsDraw(int zone, Micros now, Random& random) const;
+  // Whether a zone's share has become 0 or left 0 since the last call: the rings have to be rebuilt then.
+  bool TakeAvailabilityChange(Micros now);
 
  private:
-  struct Ordered {
+  struct OrderState {
     ZoneOrder order;
-    bool closed = false;  // when Turned was last asked
+    bool closed = false;  // its share was 0 at the last TakeAvailabilityChange
   };
-  std::map<int, Ordered> orders_;
-  bool turned_ = false;
+  std::map<int, OrderState> orders_;
+  bool availability_changed_ = false;
 };
 
 }  // namespace violetwing::balancer
--- a/tests/balancer/harness.hpp
+++ b/tests/balancer/harness.hpp
@@ -1,4 +1,4 @@
-// What the tests share: a sink that records actions, and settings and lists in short form.
+// Test utilities: a sink that records actions, and factories for settings and server lists.
 #ifndef VIOLETWING_TESTS_BALANCER_HARNESS_HPP_
 #define VIOLETWING_TESTS_BALANCER_HARNESS_HPP_
 
@@ -15,10 +15,10 @@
 inline constexpr Micros kSec = 1000 * kMs;
 
 struct Action {
-  enum class Kind { kSend, kCancel, kRefuse, kFail, kTimer, kSubscribe } kind;
+  enum class Kind { kSend, kCancel, kReject, kFail, kTimer, kSubscribe } kind;
   std::string request;
   std::string server;
-  Micros time = 0;  // timeout, retry-after or delay
+  Micros time = 0;  // timeout, Retry-After or delay
   std::uint64_t token = 0;
   Micros begin_within = 0;
 };
@@ -33,7 +33,7 @@
     actions.push_back({Action::Kind::kCancel, std::string(request), "", attempt});
   }
   void Reject(std::string_view request, Micros retry_after) override {
-    actions.push_back({Action::Kind::kRefuse, std::string(request), "", retry_after});
+    actions.push_back({Action::Kind::kReject, std::string(request), "", retry_after});
   }
   void Fail(std::string_view request) override {
     actions.push_back({Action::Kind::kFail, std::string(request), ""});
@@ -44,7 +44,7 @@
   void Subscribe() override { actions.push_back({Action::Kind::kSubscribe, "", ""}); }
   void Log(std::string_view) override {}
 
-  // Takes the actions recorded so far.
+  // Returns and clears the recorded actions.
   std::vector<Action> Take() { return std::exchange(actions, {}); }
 
   std::vector<Action> actions;
@@ -61,7 +61,8 @@
   return c;
 }
 
-// Classes 0, 1 and 2: safe, deduplicated in the zone, never to be repeated. 3: deduplicated everywhere.
+// The classes are 0: safe to retry, 1: deduplicated in the zone, 2: never retried, 3: deduplicated
+// everywhere.
 inline Settings MakeSettings() {
   Settings s;
   s.classes = {MakeClass(RetrySafety::kSafe), MakeClass(RetrySafety::kDeduplicated, DedupGroup::kZone),
@@ -78,7 +79,7 @@
   return s;
 }
 
-// n servers s00, s01, ..., in zones 0 and 1 by turns.
+// Returns n servers s00, s01, ..., alternating between zones 0 and 1.
 inline std::vector<ServerInfo> MakeServers(int n) {
   std::vector<ServerInfo> servers;
   for (int i = 0; i < n; ++i) {
--- a/tests/balancer/zones_test.cpp
+++ b/tests/balancer/zones_test.cpp
@@ -1,4 +1,4 @@
-// Zones taken out by hand: how far they are open, and what the module sends there.
+// Zone orders: the traffic share of draining and returning zones, and what the module sends there.
 #include "balancer/zones.hpp"
 
 #include <gtest/gtest.h>
@@ -11,46 +11,46 @@
 using testing::kSec;
 using Kind = testing::Action::Kind;
 
-TEST(Zones, ADrainGoesDownEvenlyAndAReturnUpInSteps) {
+TEST(Zones, DrainFallsLinearlyAndReturnRisesInSteps) {
   Zones zones;
-  EXPECT_EQ(zones.Open(1, 0), 1);
-  zones.Order(1, {true, 10 * kSec, 8 * kSec, 1});
-  EXPECT_DOUBLE_EQ(zones.Open(1, 10 * kSec), 1);
-  EXPECT_DOUBLE_EQ(zones.Open(1, 12 * kSec), 0.75);
-  EXPECT_DOUBLE_EQ(zones.Open(1, 18 * kSec), 0);
-  EXPECT_DOUBLE_EQ(zones.Open(1, 99 * kSec), 0);
-  EXPECT_EQ(zones.Open(0, 18 * kSec), 1);
-  zones.Order(1, {false, 20 * kSec, 8 * kSec, 0.5});  // taken back half way
-  EXPECT_DOUBLE_EQ(zones.Open(1, 20 * kSec), 0.5625);
-  EXPECT_DOUBLE_EQ(zones.Open(1, 21 * kSec - 1), 0.5625);
-  EXPECT_DOUBLE_EQ(zones.Open(1, 21 * kSec), 0.625);
-  EXPECT_DOUBLE_EQ(zones.Open(1, 28 * kSec), 1);
-  zones.Order(1, {true, 30 * kSec, 0, 1});
-  EXPECT_EQ(zones.Open(1, 30 * kSec), 0);
-  zones.Order(1, {false, 31 * kSec, 0, 0});
-  EXPECT_EQ(zones.Open(1, 31 * kSec), 1);
+  EXPECT_EQ(zones.TrafficShare(1, 0), 1);
+  zones.SetOrder(1, {true, 10 * kSec, 8 * kSec, 1});
+  EXPECT_DOUBLE_EQ(zones.TrafficShare(1, 10 * kSec), 1);
+  EXPECT_DOUBLE_EQ(zones.TrafficShare(1, 12 * kSec), 0.75);
+  EXPECT_DOUBLE_EQ(zones.TrafficShare(1, 18 * kSec), 0);
+  EXPECT_DOUBLE_EQ(zones.TrafficShare(1, 99 * kSec), 0);
+  EXPECT_EQ(zones.TrafficShare(0, 18 * kSec), 1);
+  zones.SetOrder(1, {false, 20 * kSec, 8 * kSec, 0.5});  // revoked half way
+  EXPECT_DOUBLE_EQ(zones.TrafficShare(1, 20 * kSec), 0.5625);
+  EXPECT_DOUBLE_EQ(zones.TrafficShare(1, 21 * kSec - 1), 0.5625);
+  EXPECT_DOUBLE_EQ(zones.TrafficShare(1, 21 * kSec), 0.625);
+  EXPECT_DOUBLE_EQ(zones.TrafficShare(1, 28 * kSec), 1);
+  zones.SetOrder(1, {true, 30 * kSec, 0, 1});
+  EXPECT_EQ(zones.TrafficShare(1, 30 * kSec), 0);
+  zones.SetOrder(1, {false, 31 * kSec, 0, 0});
+  EXPECT_EQ(zones.TrafficShare(1, 31 * kSec), 1);
 }
 
-TEST(Zones, TellsWhenAZoneHasClosedOrOpenedAndForgetsAReturnThatIsOver) {
+TEST(Zones, ReportsAvailabilityChangesAndDropsCompletedReturn) {
   Zones zones;
-  EXPECT_FALSE(zones.Turned(0));
-  zones.Order(1, {true, 0, 8 * kSec, 1});
-  zones.Turned(0);
-  EXPECT_FALSE(zones.Turned(7 * kSec));
-  EXPECT_TRUE(zones.Turned(8 * kSec));
-  EXPECT_FALSE(zones.Turned(9 * kSec));
-  zones.Order(1, {false, 10 * kSec, 8 * kSec, 0});
-  EXPECT_TRUE(zones.Turned(10 * kSec));
-  EXPECT_FALSE(zones.Turned(18 * kSec));
+  EXPECT_FALSE(zones.TakeAvailabilityChange(0));
+  zones.SetOrder(1, {true, 0, 8 * kSec, 1});
+  zones.TakeAvailabilityChange(0);
+  EXPECT_FALSE(zones.TakeAvailabilityChange(7 * kSec));
+  EXPECT_TRUE(zones.TakeAvailabilityChange(8 * kSec));
+  EXPECT_FALSE(zones.TakeAvailabilityChange(9 * kSec));
+  zones.SetOrder(1, {false, 10 * kSec, 8 * kSec, 0});
+  EXPECT_TRUE(zones.TakeAvailabilityChange(10 * kSec));
+  EXPECT_FALSE(zones.TakeAvailabilityChange(18 * kSec));
   Random random(1);
   const std::uint64_t next = Random(1).Next();
-  EXPECT_TRUE(zones.Takes(1, 18 * kSec, random));
-  EXPECT_EQ(random.Next(), next);  // no order is left: the ordinary path draws nothing
-  zones.Order(1, {true, 20 * kSec, 0, 1});
-  zones.Turned(20 * kSec);
-  zones.Forget(1);
-  EXPECT_TRUE(zones.Turned(21 * kSec));
-  EXPECT_EQ(zones.Open(1, 21 * kSec), 1);
+  EXPECT_TRUE(zones.AcceptsDraw(1, 18 * kSec, random));
+  EXPECT_EQ(random.Next(), next);  // without orders, no random number is drawn
+  zones.SetOrder(1, {true, 20 * kSec, 0, 1});
+  zones.TakeAvailabilityChange(20 * kSec);
+  zones.ClearOrder(1);
+  EXPECT_TRUE(zones.TakeAvailabilityChange(21 * kSec));
+  EXPECT_EQ(zones.TrafficShare(1, 21 * kSec), 1);
 }
 
 class ZoneDrainTest : public ::testing::Test {
@@ -62,39 +62,40 @@
     balancer->OnServers(now, {ListUpdate::Kind::kFull, 1, testing::MakeServers(servers)});
     sink.Take();
   }
-  // The share of so many requests, each served at once, that went to zone 1.
-  double ShareOfZoneOne(int requests) {
-    int there = 0;
+  // Runs requests that are served immediately, and returns the fraction that was sent to zone 1.
+  double ZoneOneShare(int requests) {
+    int in_zone_one = 0;
     for (int i = 0; i < requests; ++i) {
       Request request;
-      const std::string id = "r" + std::to_string(number++);
+      const std::string id = "r" + std::to_string(next_id++);
       request.id = id;
       request.budget = 5 * kSec;
       balancer->OnRequest(now, request);
       for (const auto& action : sink.Take())
-        if (action.kind == Kind::kSend) there += (action.server.back() - '0') % 2;  // MakeServers: by turns
+        if (action.kind == Kind::kSend)
+          in_zone_one += (action.server.back() - '0') % 2;  // MakeServers alternates between the zones
       balancer->OnOutcome(now, {id, 0, Result::kSuccess, 10'000, true});
     }
-    return static_cast<double>(there) / requests;
+    return static_cast<double>(in_zone_one) / requests;
   }
 
   Micros now = 1000 * kSec;
   testing::Recorder sink;
   std::unique_ptr<Balancer> balancer;
-  int number = 0;
+  int next_id = 0;
 };
 
-TEST_F(ZoneDrainTest, TrafficGoesDownWithTheOrderAndTheWindowTakesOthersInWhenTheZoneIsClosed) {
-  Start(8);  // the window holds three of them: s00, s01, s02
-  const double before = ShareOfZoneOne(3000);
+TEST_F(ZoneDrainTest, TrafficFollowsOrderAndWindowReplacesServersOfDrainedZone) {
+  Start(8);  // the window contains three of them: s00, s01, s02
+  const double before = ZoneOneShare(3000);
   EXPECT_NEAR(before, 1.0 / 3, 0.05);
   balancer->SetZoneOrder(now, 1, {true, now, 10 * kSec, 1});
   now += 5 * kSec;
-  const double half = ShareOfZoneOne(3000);
+  const double half = ZoneOneShare(3000);
   EXPECT_GT(half, 0.1);
   EXPECT_LT(half, 0.25);
   now += 5 * kSec;
-  EXPECT_EQ(ShareOfZoneOne(3000), 0);
+  EXPECT_EQ(ZoneOneShare(3000), 0);
   EXPECT_EQ(balancer->membership(now).unavailable, 4U);
   std::set<std::string> used;
   for (int i = 0; i < 200; ++i) {
@@ -109,20 +110,20 @@
   }
   EXPECT_EQ(used, (std::set<std::string>{"s00", "s02", "s04"}));
   balancer->SetZoneOrder(now, 1, {false, now, 8 * kSec, 0});
-  const double first = ShareOfZoneOne(3000);
+  const double first = ZoneOneShare(3000);
   EXPECT_GT(first, 0.01);
   EXPECT_LT(first, 0.12);
   now += 8 * kSec;
-  EXPECT_NEAR(ShareOfZoneOne(3000), before, 0.05);
+  EXPECT_NEAR(ZoneOneShare(3000), before, 0.05);
   EXPECT_EQ(balancer->membership(now).unavailable, 0U);
 }
 
-TEST_F(ZoneDrainTest, WithAllOutByHandARequestIsAnsweredAtOnce) {
+TEST_F(ZoneDrainTest, RejectsImmediatelyWhenAllZonesAreDrained) {
   Start(2);
   EXPECT_TRUE(balancer->HasUsableServerOutside(1));
   balancer->SetZoneOrder(now, 1, {true, now, 0, 1});
   EXPECT_FALSE(balancer->HasUsableServerOutside(0));
-  EXPECT_EQ(ShareOfZoneOne(10), 0);
+  EXPECT_EQ(ZoneOneShare(10), 0);
   balancer->SetZoneOrder(now, 0, {true, now, 0, 1});
   Request request;
   request.id = "last";
@@ -130,10 +131,10 @@
   balancer->OnRequest(now, request);
   const auto actions = sink.Take();
   ASSERT_EQ(actions.size(), 1U);
-  EXPECT_EQ(actions[0].kind, Kind::kRefuse);
+  EXPECT_EQ(actions[0].kind, Kind::kReject);
 }
 
-TEST_F(ZoneDrainTest, WhatIsOutInTheZoneFinishesAndIsRepeatedElsewhere) {
+TEST_F(ZoneDrainTest, AttemptsInDrainedZoneFinishAndAreRetriedElsewhere) {
   Start(2);
   balancer->SetZoneOrder(now, 0, {true, now, 0, 1});
   Request request;
