--- a/include/violetwing_balancer/balancer.hpp
+++ b/include/violetwing_balancer/balancer.hpp
@@ -122,7 +122,7 @@
   std::int64_t cell = -1;
   double weight = 1;   // relative to the other servers
   Micros started = 0;  // 0 = long ago
-  enum class State { kHealthy, kDraining, kGone } state = State::kHealthy;
+  enum class State { kHealthy, kDraining, kRemoved } state = State::kHealthy;
 };
 
 struct ListUpdate {
--- a/src/balancer/policy.cpp
+++ b/src/balancer/policy.cpp
@@ -95,7 +95,7 @@
       }
       server.info = info;
       server.pool = settings_.price_cross_zone >= kOwnZoneFirstPrice && info.zone != settings_.zone ? 1 : 0;
-      server.listed = info.state != ServerInfo::State::kGone;
+      server.listed = info.state != ServerInfo::State::kRemoved;
       ever_listed_.insert(info.id);
     }
     for (auto it = servers_.begin(); it != servers_.end();)
--- a/src/bench_adapter/wire.cpp
+++ b/src/bench_adapter/wire.cpp
@@ -333,7 +333,7 @@
   return OneOf<ServerInfo::State>(word, "readiness", "unknown",
                                   {{"healthy", ServerInfo::State::kHealthy},
                                    {"cordoned", ServerInfo::State::kDraining},
-                                   {"deregistered", ServerInfo::State::kGone}});
+                                   {"deregistered", ServerInfo::State::kRemoved}});
 }
 
 int IndexOf(const std::vector<std::string>& names, std::string_view name) {
--- a/src/sidecar/discovery.cpp
+++ b/src/sidecar/discovery.cpp
@@ -26,7 +26,7 @@
 std::optional<ServerInfo::State> ParseLifecycle(const std::string& word) {
   if (word == "up") return ServerInfo::State::kHealthy;
   if (word == "draining") return ServerInfo::State::kDraining;
-  if (word == "removed") return ServerInfo::State::kGone;
+  if (word == "removed") return ServerInfo::State::kRemoved;
   return std::nullopt;
 }
 
@@ -37,9 +37,9 @@
   if (out.info.id.empty()) error = "an empty instanceId";
   const auto state = ParseLifecycle(json.at("lifecycle").get<std::string>());
   if (!state) error = "an unknown lifecycle";
-  out.info.state = state.value_or(ServerInfo::State::kGone);
+  out.info.state = state.value_or(ServerInfo::State::kRemoved);
   const auto address = ParseAddress(json.value("hostPort", std::string()));
-  if (!address && out.info.state != ServerInfo::State::kGone) error = "a hostPort that is no address";
+  if (!address && out.info.state != ServerInfo::State::kRemoved) error = "a hostPort that is no address";
   out.address = address.value_or(Tcp::endpoint());
   out.info.zone = bench_adapter::IndexOf(names.zones, json.value("zone", std::string()));
   out.info.machine = bench_adapter::IndexOf(names.machines, json.value("machineType", std::string()));
--- a/src/sidecar/upstream.cpp
+++ b/src/sidecar/upstream.cpp
@@ -417,7 +417,7 @@
 void Upstream::Update(Server& server, const Endpoint& endpoint) {
   const bool same = server.address == endpoint.address && server.info.started == endpoint.info.started;
   server.info = endpoint.info;
-  if (endpoint.info.state != ServerInfo::State::kGone) server.address = endpoint.address;
+  if (endpoint.info.state != ServerInfo::State::kRemoved) server.address = endpoint.address;
   if (same && server.Up()) return;
   if (!same) ++server.life;
   CloseIdle(server);
@@ -444,11 +444,11 @@
     if (server == nullptr) server = std::make_shared<Server>();
     Update(*server, endpoint);
     before.erase(endpoint.info.id);
-    if (endpoint.info.state == ServerInfo::State::kGone) servers_.erase(endpoint.info.id);
+    if (endpoint.info.state == ServerInfo::State::kRemoved) servers_.erase(endpoint.info.id);
   }
   for (auto& [id, server] : before) {  // not in the whole list: gone
     Endpoint gone{server->info, server->address};
-    gone.info.state = ServerInfo::State::kGone;
+    gone.info.state = ServerInfo::State::kRemoved;
     Update(*server, gone);
   }
 }
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -293,7 +293,7 @@
   const auto wait = Resolve("waits", 0, Result::kRejected);
   auto servers = MakeServers(4);
   servers[0].state = ServerInfo::State::kDraining;
-  servers[1].state = ServerInfo::State::kGone;
+  servers[1].state = ServerInfo::State::kRemoved;
   List(ListUpdate::Kind::kDelta, {servers[0], servers[1]});
   std::set<std::string> used;
   used.insert(FireTimer(wait[0])[0].server);
--- a/tests/balancer/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -233,7 +233,7 @@
     } else if (event == 1) {  // the full list, without the removed servers
       std::vector<ServerInfo> present;
       for (const ServerInfo& info : servers) {
-        if (info.state == ServerInfo::State::kGone) {
+        if (info.state == ServerInfo::State::kRemoved) {
           checker.OnUnlisted(now, info.id);
         } else {
           present.push_back(info);
