--- a/examples/main.cpp
+++ b/examples/main.cpp
@@ -1,5 +1,5 @@
-// The whole of it in one file: settings, events in, actions out. Plays a sidecar with four servers, the
-// first of which turns every request away.
+// Minimal use of the library: settings, events in, actions out. Simulates a sidecar with four servers, the
+// first of which rejects every request.
 #include <cstdio>
 #include <map>
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace {
 
-// A real caller sends here; this one notes what it is asked to do.
+// Records the actions; a real caller carries them out.
 class Sink : public violetwing::balancer::ActionSink {
  public:
   void Send(std::string_view request, const std::string& server, violetwing::balancer::Micros,
@@ -18,8 +18,8 @@
     sent.emplace_back(request, server);
   }
   void Cancel(std::string_view, int) override {}
-  void Refuse(std::string_view request, violetwing::balancer::Micros after) override {
-    std::printf("refuse  %s, back after %lld us\n", std::string(request).c_str(),
+  void Reject(std::string_view request, violetwing::balancer::Micros after) override {
+    std::printf("reject  %s, retry after %lld us\n", std::string(request).c_str(),
                 static_cast<long long>(after));
   }
   void Fail(std::string_view request) override { std::printf("fail    %s\n", std::string(request).c_str()); }
@@ -38,15 +38,15 @@
   Settings settings;
   RequestClass look;
   look.name = "look";
-  look.aim = 500'000;
+  look.latency_target = 500'000;
   look.deadline = 2'000'000;
-  look.repeat = Repeat::kSafe;
+  look.retry_safety = RetrySafety::kSafe;
   settings.classes = {look};
   settings.max_attempts = 4;
 
   Sink sink;
   std::string error;
-  Micros now = 1'000'000;  // any monotonic count of microseconds
+  Micros now = 1'000'000;  // any monotonic clock in microseconds
   const auto balancer = Balancer::Create(settings, /*seed=*/1, now, sink, error);
   if (balancer == nullptr) {
     std::fprintf(stderr, "settings: %s\n", error.c_str());
@@ -71,8 +71,8 @@
       outcome.request = to;
       outcome.attempt = attempt;
       outcome.elapsed = 20'000;
-      outcome.result = server == servers[0].id ? Result::kRefused : Result::kSuccess;
-      outcome.settled = outcome.result == Result::kSuccess;  // a success reaches the client and ends it
+      outcome.result = server == servers[0].id ? Result::kRejected : Result::kSuccess;
+      outcome.settled = outcome.result == Result::kSuccess;  // a success is the final response
       served += outcome.settled;
       now += outcome.elapsed;
       balancer->OnOutcome(now, outcome);
@@ -80,6 +80,6 @@
         balancer->OnTimer(now += delay, token);
     }
   }
-  std::printf("%d of 8 served, %zu held\n", served, balancer->requests_held());
-  return served == 8 && balancer->requests_held() == 0 ? 0 : 1;
+  std::printf("%d of 8 served, %zu still tracked\n", served, balancer->tracked_requests());
+  return served == 8 && balancer->tracked_requests() == 0 ? 0 : 1;
 }
--- a/tests/balancer/harness.hpp
+++ b/tests/balancer/harness.hpp
@@ -1,4 +1,4 @@
-// What the tests share: a sink that records actions, and settings and lists in short form.
+// Test utilities: a sink that records actions, and factories for settings and server lists.
 #ifndef VIOLETWING_TESTS_BALANCER_HARNESS_HPP_
 #define VIOLETWING_TESTS_BALANCER_HARNESS_HPP_
 
@@ -15,10 +15,10 @@
 inline constexpr Micros kSec = 1000 * kMs;
 
 struct Action {
-  enum class Kind { kSend, kCancel, kRefuse, kFail, kTimer, kSubscribe } kind;
+  enum class Kind { kSend, kCancel, kReject, kFail, kTimer, kSubscribe } kind;
   std::string request;
   std::string server;
-  Micros time = 0;  // timeout, retry-after or delay
+  Micros time = 0;  // timeout, Retry-After or delay
   std::uint64_t token = 0;
   Micros begin_within = 0;
 };
@@ -32,8 +32,8 @@
   void Cancel(std::string_view request, int attempt) override {
     actions.push_back({Action::Kind::kCancel, std::string(request), "", attempt});
   }
-  void Refuse(std::string_view request, Micros retry_after) override {
-    actions.push_back({Action::Kind::kRefuse, std::string(request), "", retry_after});
+  void Reject(std::string_view request, Micros retry_after) override {
+    actions.push_back({Action::Kind::kReject, std::string(request), "", retry_after});
   }
   void Fail(std::string_view request) override {
     actions.push_back({Action::Kind::kFail, std::string(request), ""});
@@ -44,41 +44,42 @@
   void Subscribe() override { actions.push_back({Action::Kind::kSubscribe, "", ""}); }
   void Log(std::string_view) override {}
 
-  // Takes the actions recorded so far.
+  // Returns and clears the recorded actions.
   std::vector<Action> Take() { return std::exchange(actions, {}); }
 
   std::vector<Action> actions;
 };
 
-inline RequestClass MakeClass(Repeat repeat, DedupGroup group = DedupGroup::kAll) {
+inline RequestClass MakeClass(RetrySafety retry_safety, DedupGroup group = DedupGroup::kAll) {
   RequestClass c;
   c.name = "c";
-  c.aim = 1 * kSec;
+  c.latency_target = 1 * kSec;
   c.deadline = 5 * kSec;
-  c.repeat = repeat;
+  c.retry_safety = retry_safety;
   c.group = group;
   c.dedup_window = 3 * kSec;
   return c;
 }
 
-// Classes 0, 1 and 2: safe, deduplicated in the zone, never to be repeated. 3: deduplicated everywhere.
+// The classes are 0: safe to retry, 1: deduplicated in the zone, 2: never retried, 3: deduplicated
+// everywhere.
 inline Settings MakeSettings() {
   Settings s;
-  s.classes = {MakeClass(Repeat::kSafe), MakeClass(Repeat::kDeduplicated, DedupGroup::kZone),
-               MakeClass(Repeat::kNever), MakeClass(Repeat::kDeduplicated)};
+  s.classes = {MakeClass(RetrySafety::kSafe), MakeClass(RetrySafety::kDeduplicated, DedupGroup::kZone),
+               MakeClass(RetrySafety::kNever), MakeClass(RetrySafety::kDeduplicated)};
   s.max_attempts = 5;
   s.max_retry_after = 2 * kSec;
   s.drain_grace = 500 * kMs;
   s.cold_share = 0.25;
   s.warm_after = 8 * kSec;
   s.overload_factor = 4;
-  s.fall_window = 2 * kSec;
-  s.ask_within = 10 * kSec;
+  s.overload_window = 2 * kSec;
+  s.max_subscribe_delay = 10 * kSec;
   s.tick = 5 * kMs;
   return s;
 }
 
-// n servers s00, s01, ..., in zones 0 and 1 by turns.
+// Returns n servers s00, s01, ..., alternating between zones 0 and 1.
 inline std::vector<ServerInfo> MakeServers(int n) {
   std::vector<ServerInfo> servers;
   for (int i = 0; i < n; ++i) {
