--- a/src/control/replication/bootstrap.cpp
+++ b/src/control/replication/bootstrap.cpp
@@ -3,7 +3,7 @@
 namespace violetwing {
 namespace {
 
-// Stored on disk and sent to peers: it stays as the first version wrote it.
+// Stored on disk and sent to peers: must not change, for compatibility with the first version.
 constexpr const char* kBootstrapPrefix = "founder/";
 
 }  // namespace
--- a/src/control/replication/bootstrap.hpp
+++ b/src/control/replication/bootstrap.hpp
@@ -8,11 +8,11 @@
 
 namespace violetwing {
 
-/// The id of the first disk of the process at this internal address (host:port). All processes derive the
-/// initial voters from the seeds by it; every later disk draws a random id.
+/// Replica id of the first disk of the process at this internal address (host:port). It is deterministic, so
+/// that all processes derive the same initial voters from the seed nodes. Later disks get a random id.
 consensus::ReplicaId BootstrapReplicaId(const std::string& address);
 
-/// Whether the id was made by BootstrapReplicaId.
+/// Whether the id was returned by BootstrapReplicaId.
 bool IsBootstrapReplica(const consensus::ReplicaId& id);
 
 }  // namespace violetwing
--- a/src/control/replication/commands.cpp
+++ b/src/control/replication/commands.cpp
@@ -3,7 +3,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "control/storage/json_form.hpp"
+#include "control/storage/json_encoding.hpp"
 #include "messages/decode_error.hpp"
 #include "messages/generated/internal.pb.h"
 #include "messages/parse.hpp"
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-// Decodes a command of the older stored form by `read`, which throws json::exception for a malformed one.
+// Decodes a JSON command with `read`, which throws json::exception if the command is malformed.
 template <class Read>
 auto FromJson(const std::string& text, Read read) -> Result<decltype(read(json()))> {
   const json object = json::parse(text, nullptr, /*allow_exceptions=*/false);
@@ -39,7 +39,7 @@
   return {object.value("id", std::string()), object.value("phase", Phase::kDraining)};
 }
 
-// Each sets the kind of `out` that its first argument stands for.
+// Each overload sets the field of the `command` oneof that corresponds to its first argument.
 void SetCommand(const ReadCommand&, wire::ConfigurationCommand& out) { out.set_read(true); }
 
 void SetCommand(const configuration::Change& change, wire::ConfigurationCommand& out) {
@@ -58,9 +58,9 @@
 void SetCommand(const duties::RecordUsage& command, wire::ConfigurationCommand& out) {
   out.mutable_record_usage()->set_window(command.window);
   for (const auto& [tenant, count] : command.counts) {
-    wire::TenantCount& one = *out.mutable_record_usage()->add_counts();
-    one.set_tenant(tenant);
-    one.set_count(count);
+    wire::TenantCount& tenant_count = *out.mutable_record_usage()->add_counts();
+    tenant_count.set_tenant(tenant);
+    tenant_count.set_count(count);
   }
 }
 
@@ -70,7 +70,8 @@
 
 duties::RecordUsage FromWire(const wire::RecordUsage& in) {
   duties::RecordUsage command{in.window(), {}};
-  for (const wire::TenantCount& one : in.counts()) command.counts[one.tenant()] = one.count();
+  for (const wire::TenantCount& tenant_count : in.counts())
+    command.counts[tenant_count.tenant()] = tenant_count.count();
   return command;
 }
 
@@ -84,7 +85,7 @@
 }
 
 Result<Envelope> DecodeEnvelope(const std::string& bytes) {
-  if (IsJsonForm(bytes)) return FromJson(bytes, EnvelopeFromJson);
+  if (IsJsonEncoded(bytes)) return FromJson(bytes, EnvelopeFromJson);
   auto message = wire::Parse<wire::Command>(bytes);
   if (!message) return DecodeErrc::kMalformed;
   return Envelope{std::move(*message->mutable_request()), std::move(*message->mutable_body())};
@@ -92,12 +93,12 @@
 
 std::string Encode(const ConfigurationCommand& command) {
   wire::ConfigurationCommand message;
-  std::visit([&message](const auto& one) { SetCommand(one, message); }, command);
+  std::visit([&message](const auto& alternative) { SetCommand(alternative, message); }, command);
   return message.SerializeAsString();
 }
 
 Result<ConfigurationCommand> DecodeConfigurationCommand(const std::string& bytes) {
-  if (IsJsonForm(bytes)) return FromJson(bytes, ConfigurationFromJson);
+  if (IsJsonEncoded(bytes)) return FromJson(bytes, ConfigurationFromJson);
   auto message = wire::Parse<wire::ConfigurationCommand>(bytes);
   if (!message) return DecodeErrc::kMalformed;
   switch (message->command_case()) {
@@ -129,7 +130,7 @@
 }
 
 Result<DeregistrationCommand> DecodeDeregistrationCommand(const std::string& bytes) {
-  if (IsJsonForm(bytes)) return FromJson(bytes, DeregistrationFromJson);
+  if (IsJsonEncoded(bytes)) return FromJson(bytes, DeregistrationFromJson);
   auto message = wire::Parse<wire::DepartureCommand>(bytes);
   if (!message) return DecodeErrc::kMalformed;
   const Phase phase = message->phase() == wire::GONE ? Phase::kDeregistered : Phase::kDraining;
--- a/src/control/replication/replicated_state_machine.cpp
+++ b/src/control/replication/replicated_state_machine.cpp
@@ -11,15 +11,17 @@
 namespace violetwing {
 namespace {
 
-// A snapshot is due when any of the three limits is exceeded.
-// Entries in the log after the last snapshot.
+// A snapshot is taken when any of the following three limits is exceeded.
+// Log entries after the last snapshot.
 constexpr std::size_t kMaxEntriesSinceSnapshot = 128;
-// Bytes of work: a process that starts applies the entries again before it can lead or answer, and exchanges
-// no messages meanwhile. Some 50 ms of a control process's CPU share at 17 MB/s (a patch of 189 kB: 11 ms).
-constexpr std::size_t kMaxWorkSinceSnapshot = std::size_t{512} * 1024;
-// Bytes of commands, also of those without effect: the log's size on disk.
+// Bytes read and written by applied commands. It bounds the replay at startup, during which a process
+// exchanges no messages and can neither lead nor answer: about 50 ms of a control process's CPU share at 17
+// MB/s (a patch of 189 kB takes 11 ms).
+constexpr std::size_t kMaxProcessedBytesSinceSnapshot = std::size_t{512} * 1024;
+// Bytes of commands, including those that change nothing. It bounds the size of the log on disk.
 constexpr std::size_t kMaxLogBytesSinceSnapshot = std::size_t{2} * 1024 * 1024;
-// A command that was not applied within 500 ms is sent again: the leader or the network path may have failed.
+// A command that is not applied within 500 ms is sent again, as the leader or the network path may have
+// failed.
 constexpr Micros kResendInterval = 500'000;
 
 bool IsEmpty(const consensus::Effects& effects) {
@@ -51,7 +53,7 @@
   PendingCommand& pending = it->second;
   if (inserted) pending.command = Encode(Envelope{request_id, command});
   pending.submitters.push_back({now + timeouts.minimum, now + timeouts.with_quorum_contact, std::move(done)});
-  ForwardToLeader(request_id, pending, now);
+  SendToLeader(request_id, pending, now);
   Flush();
 }
 
@@ -61,8 +63,8 @@
   Flush();
 }
 
-void ReplicatedStateMachine::ForwardToLeader(const std::string& request_id, PendingCommand& pending,
-                                             Micros now) {
+void ReplicatedStateMachine::SendToLeader(const std::string& request_id, PendingCommand& pending,
+                                          Micros now) {
   const bool new_term = pending.sent_term != replica_.term();
   if (pending.sent_at > 0 && !new_term && now - pending.sent_at < kResendInterval) return;
   if (replica_.leader()) {
@@ -78,7 +80,7 @@
 
 void ReplicatedStateMachine::Propose(const std::string& request_id, const std::string& command) {
   if (!replica_.leader()) return;
-  // Entries of an earlier term may have been overwritten since.
+  // Entries of earlier terms may have been overwritten since.
   if (std::exchange(proposed_term_, replica_.term()) != replica_.term()) proposed_requests_.clear();
   if (proposed_requests_.insert(request_id).second) replica_.Propose(command);
 }
@@ -116,7 +118,7 @@
       it = pending_commands_.erase(it);
       continue;
     }
-    ForwardToLeader(it->first, it->second, now);
+    SendToLeader(it->first, it->second, now);
     ++it;
   }
   Flush();
@@ -137,12 +139,12 @@
 
 void ReplicatedStateMachine::Flush() {
   if (failed_ || std::exchange(flushing_, true))
-    return;  // a submitter's callback may submit the next command
+    return;  // reentrant call: a submitter's callback may submit another command
   bool applied = false;
   while (true) {
     consensus::Effects effects = replica_.TakeEffects();
     if (IsEmpty(effects)) break;
-    // Before it is stored: a snapshot that cannot be read must not replace a state that can.
+    // Load before storing: a snapshot that cannot be loaded must not replace a stored state that can.
     if (effects.snapshot_to_load && !LoadSnapshot(*effects.snapshot_to_load)) return;
     Persist(effects);
     Send(effects.messages);
@@ -165,9 +167,10 @@
 }
 
 void ReplicatedStateMachine::Persist(consensus::Effects& effects) {
-  // Without a write of their own, messages still follow the earlier writes that they rely on.
-  const bool follows_writes = !effects.messages_after_write.empty() && outputs_.has_pending_writes();
-  if (!effects.WritesAnything() && !follows_writes) {
+  // Messages without a write of their own may depend on earlier writes, so they wait for those.
+  const bool depends_on_pending_writes =
+      !effects.messages_after_write.empty() && outputs_.has_pending_writes();
+  if (!effects.WritesAnything() && !depends_on_pending_writes) {
     Send(effects.messages_after_write);
     return;
   }
@@ -201,7 +204,7 @@
   proposed_requests_.erase(envelope.request_id);
   const auto it = pending_commands_.find(envelope.request_id);
   if (it == pending_commands_.end()) return;
-  // Taken out first: a callback may submit the same request again.
+  // Erased before the callbacks run: a callback may submit the same request again.
   const std::vector<Submitter> submitters = std::move(it->second.submitters);
   pending_commands_.erase(it);
   for (const Submitter& submitter : submitters) submitter.done(answer);
@@ -210,13 +213,13 @@
 void ReplicatedStateMachine::CompactIfDue() {
   if (!IsCompactionDue()) return;
   replica_.Compact(machine_.Save());
-  worked_at_snapshot_ = machine_.worked();
+  processed_bytes_at_snapshot_ = machine_.processed_bytes();
   log_bytes_since_snapshot_ = 0;
 }
 
 bool ReplicatedStateMachine::IsCompactionDue() const {
   return replica_.entries_since_snapshot() > kMaxEntriesSinceSnapshot ||
-         machine_.worked() - worked_at_snapshot_ > kMaxWorkSinceSnapshot ||
+         machine_.processed_bytes() - processed_bytes_at_snapshot_ > kMaxProcessedBytesSinceSnapshot ||
          log_bytes_since_snapshot_ > kMaxLogBytesSinceSnapshot;
 }
 
--- a/src/control/replication/shard_state_machines.cpp
+++ b/src/control/replication/shard_state_machines.cpp
@@ -19,13 +19,13 @@
 
 constexpr const char* kDutiesMember = "duties";
 
-// A committed command has the same outcome on every replica of a version, so this one has no effect on any.
-// Not an end of the process: it would be that of all of them, at each start again.
-void LogUndecodable(std::error_code error) {
+// Logs a committed command that cannot be decoded. It is skipped, with the same outcome on every replica of
+// this version. Exiting instead would stop all control processes, and again at each restart.
+void LogUndecodableCommand(std::error_code error) {
   spdlog::error("command without effect error={}", error.message());
 }
 
-// What an operator asks for and the system does not do should not go unnoticed.
+// Warns the operator about members of the configuration that have no effect.
 void LogIgnoredMembers(const configuration::State& state) {
   std::string names;
   for (const std::string& name : configuration::IgnoredMembers(state.document_object()))
@@ -39,10 +39,10 @@
 std::string ConfigurationStateMachine::Apply(const std::string& command) {
   const Result<ConfigurationCommand> decoded = DecodeConfigurationCommand(command);
   if (!decoded) {
-    LogUndecodable(decoded.error());
+    LogUndecodableCommand(decoded.error());
     return {};
   }
-  return std::visit([this](const auto& one) { return ApplyDecoded(one); }, decoded.value());
+  return std::visit([this](const auto& alternative) { return ApplyDecoded(alternative); }, decoded.value());
 }
 
 std::string ConfigurationStateMachine::ApplyDecoded(const configuration::Change& change) {
@@ -61,7 +61,7 @@
 std::error_code ConfigurationStateMachine::Load(const std::string& saved) {
   try {
     if (LoadDecoded(json::parse(saved))) return {};
-  } catch (const json::exception&) {  // reported like any other state that cannot be read
+  } catch (const json::exception&) {  // reported as kUnreadableState, like any other malformed state
   }
   return ControlErrc::kUnreadableState;
 }
@@ -69,7 +69,7 @@
 bool ConfigurationStateMachine::LoadDecoded(const json& saved) {
   if (!state_.LoadObject(saved)) return false;
   duties_ = {};
-  // Snapshots of earlier versions have none.
+  // Snapshots of earlier versions have no such member.
   if (saved.contains(kDutiesMember)) duties_.Load(saved.at(kDutiesMember));
   return true;
 }
@@ -83,7 +83,7 @@
 std::string DeregistrationStateMachine::Apply(const std::string& command) {
   const Result<DeregistrationCommand> decoded = DecodeDeregistrationCommand(command);
   if (!decoded) {
-    LogUndecodable(decoded.error());
+    LogUndecodableCommand(decoded.error());
     return {};
   }
   const DeregistrationCommand& deregistration = decoded.value();
--- a/src/control/replication/shard_state_machines.hpp
+++ b/src/control/replication/shard_state_machines.hpp
@@ -1,4 +1,4 @@
-// The state machines behind the shards' logs: the configuration, and the deregistrations of servers.
+// The state machines of the shards: the configuration, and the deregistrations of servers.
 #ifndef VIOLETWING_CONTROL_REPLICATION_SHARD_STATE_MACHINES_HPP_
 #define VIOLETWING_CONTROL_REPLICATION_SHARD_STATE_MACHINES_HPP_
 
@@ -15,21 +15,21 @@
 
 namespace violetwing {
 
-/// Applies ConfigurationCommand: a change by the operator, a command of the duties, or a read, which changes
-/// nothing.
+/// Applies ConfigurationCommands: configuration changes by the operator, commands of the duties, and read
+/// barriers.
 class ConfigurationStateMachine : public StateMachine {
  public:
-  /// Both outlive this object.
+  /// Both arguments must outlive this object.
   ConfigurationStateMachine(configuration::State& state, duties::DutyTable& duties)
       : state_(state), duties_(duties) {}
 
-  /// The answer to a change is for DecodeAnswer; that to any other command is empty.
+  /// Returns the answer to a change in the encoding that DecodeAnswer reads; empty for other commands.
   std::string Apply(const std::string& command) override;
   std::string Save() const override;
   std::error_code Load(const std::string& saved) override;
-  std::size_t worked() const override { return state_.processed_bytes(); }
+  std::size_t processed_bytes() const override { return state_.processed_bytes(); }
 
-  /// Reads what Apply has answered to a change.
+  /// Decodes the answer that Apply returned for a change.
   static configuration::ChangeOutcome DecodeAnswer(const std::string& answer);
 
  private:
@@ -46,13 +46,13 @@
   duties::DutyTable& duties_;
 };
 
-/// Applies DeregistrationCommand: a server drains or is deregistered. Its answers are empty.
+/// Applies DeregistrationCommands: a server starts to drain, or is deregistered. The answers are empty.
 class DeregistrationStateMachine : public StateMachine {
  public:
   using OnDeregistered = std::function<void(const std::string& server_id, Phase phase)>;
 
-  /// Both outlive this object. `on_deregistered` is called for each command, and for each server of a
-  /// snapshot that is loaded.
+  /// Both arguments must outlive this object. `on_deregistered` is called for each applied command, and for
+  /// each server in a loaded snapshot.
   DeregistrationStateMachine(Deregistrations& state, const OnDeregistered& on_deregistered)
       : state_(state), on_deregistered_(on_deregistered) {}
 
--- a/src/control/replication/shards.cpp
+++ b/src/control/replication/shards.cpp
@@ -12,15 +12,15 @@
 namespace {
 
 constexpr int kConfigurationShard = 0;
-// Shards 1 to kServiceShards; stored data depends on the number.
+// The service shards are numbered 1 to kServiceShards. Stored data depends on their number.
 constexpr int kServiceShards = 2;
-// 900 ms: clients try another control process after a second without an answer.
+// 900 ms: clients try another control process after 1 s without an answer.
 constexpr Micros kSubmitTimeout = 900'000;
-// 2.5 s: for large bodies clients wait longer, and with a quorum a large change is in progress. A client that
-// goes elsewhere sooner shares the same pending change there.
+// 2.5 s: clients wait longer for large bodies, and with contact to a quorum a large change is in progress. A
+// client that tries another process sooner shares the same pending change there.
 constexpr Micros kChangeTimeout = 2'500'000;
 
-Result<void> WithoutValue(const Result<std::string>& answer) {
+Result<void> DiscardValue(const Result<std::string>& answer) {
   if (!answer) return answer.error();
   return Ok();
 }
@@ -43,7 +43,7 @@
     const std::uint64_t seed =
         XXH64(incarnation.data(), incarnation.size(), static_cast<std::uint64_t>(shard));
     consensus::Timing timing;
-    timing.startup_first_candidate = number;  // spreads the first leaders over the processes
+    timing.startup_first_candidate = number;  // distributes the first leaders over the processes
     AddShard(shard, incarnation, *machines_.back(),
              consensus::Replica(replica_id_, bootstrap_voters, std::move(stored.shards[shard]), timing, seed,
                                 now));
@@ -90,7 +90,7 @@
   const auto reported = addresses_.find(id);
   if (reported != addresses_.end()) return reported->second;
   const ReplicatedStateMachine* group = Find(shard);
-  if (group == nullptr) return {};  // its replica is still being constructed
+  if (group == nullptr) return {};  // the shard's replica is still under construction
   for (const consensus::Member& member : group->replica().members())
     if (member.id == id) return member.address;
   return {};
@@ -189,7 +189,7 @@
   pending_reads_.push_back(read);
   shards_.front()->Submit(
       Encode(ConfigurationCommand(ReadCommand{})), now, kSubmitTimeout,
-      [read](const Result<std::string>& answer) { Complete(*read, WithoutValue(answer)); });
+      [read](const Result<std::string>& answer) { Complete(*read, DiscardValue(answer)); });
 }
 
 void Shards::Complete(PendingRead& read, const Result<void>& result) {
@@ -210,7 +210,7 @@
 void Shards::Deregister(const std::string& service, const std::string& server_id, Phase phase, Micros now,
                         const DoneCallback& done) {
   ShardOfService(service).Submit(Encode(DeregistrationCommand{server_id, phase}), now, kSubmitTimeout,
-                                 [done](const Result<std::string>& answer) { done(WithoutValue(answer)); });
+                                 [done](const Result<std::string>& answer) { done(DiscardValue(answer)); });
 }
 
 std::optional<Phase> Shards::Deregistered(const std::string& server_id) const {
--- a/src/control/replication/state_machine.hpp
+++ b/src/control/replication/state_machine.hpp
@@ -1,4 +1,4 @@
-// The interface between a replicated log and the state that it drives.
+// Interface of the state machines that replicated logs drive.
 #ifndef VIOLETWING_CONTROL_REPLICATION_STATE_MACHINE_HPP_
 #define VIOLETWING_CONTROL_REPLICATION_STATE_MACHINE_HPP_
 
@@ -12,17 +12,17 @@
 class StateMachine {
  public:
   virtual ~StateMachine() = default;
-  /// Applies one committed command and returns the answer for the process that has submitted it. The outcome
-  /// depends on the state and the command alone.
+  /// Applies one committed command and returns the answer for its submitter. State and answer must depend
+  /// only on the previous state and the command.
   virtual std::string Apply(const std::string& command) = 0;
-  /// The whole state, for a snapshot (Raft, section 7).
+  /// Serializes the complete state for a snapshot (Raft, section 7).
   virtual std::string Save() const = 0;
-  /// Replaces the state by one that Save has returned, on this replica or another. After an error the state
-  /// is unspecified.
+  /// Restores a state that Save returned on this replica or on another one. The state is unspecified after an
+  /// error.
   [[nodiscard]] virtual std::error_code Load(const std::string& saved) = 0;
-  /// Bytes that commands have made it read and write since it was constructed: the cost of applying them
-  /// again. It decides when a snapshot is due.
-  virtual std::size_t worked() const { return 0; }
+  /// Bytes read and written by Apply since construction, a measure of the cost of replaying the commands.
+  /// A snapshot is taken when it has grown beyond a limit.
+  virtual std::size_t processed_bytes() const { return 0; }
 };
 
 }  // namespace violetwing
--- a/src/control/storage/json_form.cpp
+++ b/src/control/storage/json_encoding.cpp
@@ -1,4 +1,4 @@
-#include "control/storage/json_form.hpp"
+#include "control/storage/json_encoding.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/control/storage/shard_database.hpp
+++ b/src/control/storage/shard_database.hpp
@@ -1,5 +1,5 @@
-// The tables in which a control process stores its shards: for each shard the hard state (term and vote), the
-// last snapshot and the log after it, in one SQLite file, control.db.
+// The database of a control process's shards: for each shard the hard state (term and vote), the last
+// snapshot and the log after it, in one SQLite file, control.db.
 #ifndef VIOLETWING_CONTROL_STORAGE_SHARD_DATABASE_HPP_
 #define VIOLETWING_CONTROL_STORAGE_SHARD_DATABASE_HPP_
 
@@ -15,36 +15,36 @@
 
 namespace violetwing {
 
-/// Reads the tables when it is opened and then only writes. It is used by one thread at a time.
+/// Reads all tables when it is opened; afterwards it only writes. Must be used by one thread at a time.
 class ShardDatabase {
  public:
-  /// Opens or creates control.db in the directory and reads it whole. `new_id` becomes the replica id of a
-  /// file that is created now; an existing file keeps its own and is not written to, so that it opens on a
-  /// full disk. The file stays locked until this object ends.
+  /// Opens or creates control.db in the directory and reads all its data. `new_id` becomes the replica id of
+  /// a newly created file. An existing file keeps its id and is not written to, so that it can be opened on a
+  /// full disk. The file stays locked until this object is destroyed.
   ///
-  /// Errors: any StorageErrc. The object is then of no further use: a replica must not start with a part of
-  /// what it has promised.
+  /// Errors: any StorageErrc. The object must not be used afterwards: a replica must not start with only a
+  /// part of the state that it has acknowledged.
   Fallible<void> Open(const std::string& directory, const consensus::ReplicaId& new_id);
 
-  /// The id that stays with the file.
+  /// The replica id stored in the file.
   const consensus::ReplicaId& replica_id() const { return replica_id_; }
-  /// What the file held when it was opened, by shard.
+  /// Contents of the file when it was opened, by shard.
   const std::map<int, consensus::StoredState>& stored() const { return stored_; }
 
-  /// Carries out all writes in one transaction: success once they would survive a loss of power. After an
-  /// error (any StorageErrc, for instance kFull) none of them was acknowledged to be stored, and the same
-  /// writes may be committed again.
+  /// Commits all writes in one transaction and returns success once they would survive a power loss. After an
+  /// error (any StorageErrc, for example kFull) the writes are not acknowledged, and the same writes may be
+  /// committed again.
   std::error_code Commit(const std::vector<ShardWrite>& writes);
 
  private:
-  // Which tables the file has, and whether any of them has a row.
-  struct TablesFound {
+  // Which tables are missing from the file, and whether any existing table has a row.
+  struct TableStatus {
     std::vector<std::string> missing;
     bool has_rows = false;
   };
 
   Fallible<void> OpenFile();
-  Fallible<TablesFound> FindTables();
+  Fallible<TableStatus> InspectTables();
   Fallible<bool> HasRow(const std::string& query);
   Fallible<void> CreateTables(const consensus::ReplicaId& new_id);
   Fallible<void> PrepareWrites();
@@ -53,13 +53,14 @@
   Fallible<void> ReadHardStates();
   Fallible<void> ReadSnapshots();
   Fallible<void> ReadEntries();
-  // With the file's name; `detail` names what could not be done, for SQLite's errors also SQLite's reason.
-  Failure Fail(std::error_code code, const std::string& detail) const;
-  Failure FailAccess(std::error_code code) const;
+  // The message is the file name and `detail`.
+  Failure MakeFailure(std::error_code code, const std::string& detail) const;
+  // For an error of SQLite, with SQLite's own message.
+  Failure MakeDatabaseFailure(std::error_code code) const;
 
   std::error_code WriteAll(const std::vector<ShardWrite>& writes);
   std::error_code Write(const ShardWrite& write);
-  std::error_code WriteHardState(int shard, const consensus::HardState& hard);
+  std::error_code WriteHardState(int shard, const consensus::HardState& hard_state);
   std::error_code WriteEntries(const ShardWrite& write);
   std::error_code WriteSnapshot(int shard, const consensus::Snapshot& snapshot);
 
@@ -67,7 +68,7 @@
   sqlite::Database database_;
   consensus::ReplicaId replica_id_;
   std::map<int, consensus::StoredState> stored_;
-  bool has_older_format_ = false;  // the next commit records the present one
+  bool has_older_format_ = false;  // the next commit updates the stored format number
 };
 
 }  // namespace violetwing
--- a/src/control/storage/sqlite.cpp
+++ b/src/control/storage/sqlite.cpp
@@ -7,14 +7,14 @@
 namespace violetwing::sqlite {
 namespace {
 
-// The database header (SQLite file format, 1.3): its length, and where its fields are.
+// The database header (SQLite file format, 1.3): its length and the offsets of its fields.
 constexpr int kHeaderBytes = 100;
 constexpr const char* kHeaderMagic = "SQLite format 3";
-constexpr std::size_t kPageSizeOffset = 16;   // two bytes; 1 stands for 65536
-constexpr std::size_t kPageCountOffset = 28;  // four bytes
-constexpr std::int64_t kLargestPage = 65536;
+constexpr std::size_t kPageSizeOffset = 16;   // 2 bytes; 1 means 65536
+constexpr std::size_t kPageCountOffset = 28;  // 4 bytes
+constexpr std::int64_t kMaxPageBytes = 65536;
 
-std::string Copy(const void* bytes, int size) {
+std::string ToString(const void* bytes, int size) {
   if (bytes == nullptr) return {};
   return {static_cast<const char*>(bytes), static_cast<std::size_t>(size)};
 }
@@ -64,30 +64,30 @@
   if (statement_ != nullptr) sqlite3_reset(statement_);
 }
 
-void Statement::Check(int code) {
+void Statement::RecordError(int code) {
   if (!error_) error_ = FromSqlite(code);
 }
 
 Statement& Statement::Bind(int parameter, std::uint64_t number) {
-  Check(sqlite3_bind_int64(statement_, parameter, static_cast<sqlite3_int64>(number)));
+  RecordError(sqlite3_bind_int64(statement_, parameter, static_cast<sqlite3_int64>(number)));
   return *this;
 }
 
 Statement& Statement::BindText(int parameter, const std::string& text) {
-  Check(
+  RecordError(
       sqlite3_bind_text(statement_, parameter, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT));
   return *this;
 }
 
 Statement& Statement::BindBlob(int parameter, const std::string& bytes) {
-  Check(sqlite3_bind_blob(statement_, parameter, bytes.data(), static_cast<int>(bytes.size()),
-                          SQLITE_TRANSIENT));
+  RecordError(sqlite3_bind_blob(statement_, parameter, bytes.data(), static_cast<int>(bytes.size()),
+                                SQLITE_TRANSIENT));
   return *this;
 }
 
 std::error_code Statement::Run() {
   if (error_) return error_;
-  Check(sqlite3_step(statement_));
+  RecordError(sqlite3_step(statement_));
   sqlite3_reset(statement_);
   return error_;
 }
@@ -97,7 +97,7 @@
   const int code = sqlite3_step(statement_);
   if (code == SQLITE_ROW) return StepResult::kRow;
   if (code == SQLITE_DONE) return StepResult::kEnd;
-  Check(code);
+  RecordError(code);
   return StepResult::kError;
 }
 
@@ -115,12 +115,12 @@
 
 std::string Statement::Text(int column) const {
   const unsigned char* text = sqlite3_column_text(statement_, column);
-  return Copy(text, sqlite3_column_bytes(statement_, column));
+  return ToString(text, sqlite3_column_bytes(statement_, column));
 }
 
 std::string Statement::Blob(int column) const {
   const void* bytes = sqlite3_column_blob(statement_, column);
-  return Copy(bytes, sqlite3_column_bytes(statement_, column));
+  return ToString(bytes, sqlite3_column_bytes(statement_, column));
 }
 
 // ---- Database ----
@@ -129,7 +129,7 @@
   path_ = file;
   sqlite3* handle = nullptr;
   const int code = sqlite3_open(file.c_str(), &handle);
-  handle_.reset(handle);  // to be closed also after an error, which it holds
+  handle_.reset(handle);  // also after an error: the handle holds the error and must be closed
   return FromSqlite(code);
 }
 
@@ -143,7 +143,7 @@
   sqlite3_stmt* prepared = nullptr;
   const int code = sqlite3_prepare_v2(handle_.get(), sql.c_str(), -1, &prepared, nullptr);
   statement.reset(prepared);
-  // The texts are constants of this program: what does not fit is the tables.
+  // All texts are constants of this program, so an SQL error means that the schema is a foreign one.
   const std::error_code error = code == SQLITE_ERROR ? StorageErrc::kForeignSchema : FromSqlite(code);
   return Statement(statement.get(), error);
 }
@@ -156,16 +156,16 @@
   return file == nullptr || file->pMethods == nullptr ? nullptr : file;
 }
 
-bool Database::IsEmptyBesideLog() const {
+bool Database::IsEmptyWithWal() const {
   sqlite3_file* const file = File();
   sqlite3_int64 size = 0;
   if (file == nullptr || file->pMethods->xFileSize(file, &size) != SQLITE_OK || size > 0) return false;
   sqlite3_vfs* vfs = nullptr;
   sqlite3_file_control(handle_.get(), "main", SQLITE_FCNTL_VFS_POINTER, &vfs);
   int exists = 0;
-  // A log without content does not count as one here: xAccess says no for an empty file.
-  const std::string log = path_ + "-wal";
-  return vfs != nullptr && vfs->xAccess(vfs, log.c_str(), SQLITE_ACCESS_EXISTS, &exists) == SQLITE_OK &&
+  // xAccess reports an empty file as missing, so an empty log is not counted.
+  const std::string wal_path = path_ + "-wal";
+  return vfs != nullptr && vfs->xAccess(vfs, wal_path.c_str(), SQLITE_ACCESS_EXISTS, &exists) == SQLITE_OK &&
          exists != 0;
 }
 
@@ -176,11 +176,11 @@
   return {header.begin(), header.end()};
 }
 
-bool Database::IsShorterThanHeader() const {
+bool Database::IsTruncated() const {
   const std::string header = ReadHeader();
   if (header.rfind(kHeaderMagic, 0) != 0) return false;
   const std::int64_t stored_page_size = ReadBigEndian(header, kPageSizeOffset, 2);
-  const std::int64_t page_size = stored_page_size == 1 ? kLargestPage : stored_page_size;
+  const std::int64_t page_size = stored_page_size == 1 ? kMaxPageBytes : stored_page_size;
   sqlite3_int64 size = 0;
   sqlite3_file* const file = File();
   if (file->pMethods->xFileSize(file, &size) != SQLITE_OK) return false;
--- a/src/control/storage/sqlite.hpp
+++ b/src/control/storage/sqlite.hpp
@@ -1,5 +1,5 @@
-// RAII wrappers of the SQLite C API: a database handle and its prepared statements. Each call ends in a
-// value, in the end of the rows or in a typed error; none of the three is taken for another.
+// RAII wrappers of the SQLite C API: a database handle and its prepared statements. They always distinguish a
+// value, the end of the rows and a typed error.
 #ifndef VIOLETWING_CONTROL_STORAGE_SQLITE_HPP_
 #define VIOLETWING_CONTROL_STORAGE_SQLITE_HPP_
 
@@ -13,25 +13,25 @@
 
 namespace violetwing::sqlite {
 
-/// What a step of a statement has led to.
+/// Result of stepping a statement.
 enum class StepResult {
-  kRow,    ///< the columns hold a row
+  kRow,    ///< a row is available in the columns
   kEnd,    ///< there are no more rows
-  kError,  ///< nothing is known of the rows that are left; see Statement::error
+  kError,  ///< the step failed, and more rows may exist; see Statement::error
 };
 
-/// One execution of a prepared statement: bind the parameters, then step. The statement is reset when this
-/// object ends, so that no read stays open. Parameters count from 1, columns from 0.
+/// One execution of a prepared statement: bind the parameters, then step. The destructor resets the
+/// statement, so that no read transaction stays open. Parameters are numbered from 1, columns from 0.
 class Statement {
  public:
-  /// `statement` is owned by the database; null if it could not be prepared for the reason `error`, in which
-  /// Run and Next then end too.
+  /// `statement` is owned by the database. It is null if it could not be prepared; Run and Next then fail
+  /// with `error`.
   Statement(sqlite3_stmt* statement, std::error_code error);
   ~Statement();
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
 
-  /// Set a parameter; the value is copied.
+  /// Bind a value to a parameter. The value is copied.
   Statement& Bind(int parameter, std::uint64_t number);
   Statement& BindText(int parameter, const std::string& text);
   Statement& BindBlob(int parameter, const std::string& bytes);
@@ -40,43 +40,43 @@
   std::error_code Run();
   /// Advances to the next row.
   StepResult Next();
-  /// Why Next has returned kError, or the statement could not be prepared or bound; success otherwise.
+  /// Why Next has returned kError, or why the statement could not be prepared or bound; success otherwise.
   std::error_code error() const { return error_; }
 
-  /// Whether the current row has an integer, or text, in the column.
+  /// Whether the column of the current row has the type integer or text.
   bool IsInteger(int column) const;
   bool IsText(int column) const;
-  /// Columns of the current row.
+  /// Values of the columns of the current row.
   int Int(int column) const;
   std::uint64_t Unsigned(int column) const;
   std::string Text(int column) const;
   std::string Blob(int column) const;
 
  private:
-  void Check(int code);
+  void RecordError(int code);
 
   sqlite3_stmt* const statement_;
   std::error_code error_;
 };
 
-/// A database file. It is used by one thread at a time.
+/// A database file. Must be used by one thread at a time.
 class Database {
  public:
-  /// Opens or creates the file through SQLite's default VFS. Nothing is read yet. Errors: StorageErrc.
+  /// Opens or creates the file through SQLite's default VFS, without reading from it. Errors: StorageErrc.
   std::error_code Open(const std::string& file);
-  /// Executes SQL text without parameters, of one or more statements; rows are dropped. Errors: StorageErrc.
+  /// Executes one or more SQL statements without parameters; rows are discarded. Errors: StorageErrc.
   std::error_code Execute(const char* sql);
-  /// A statement to bind and run. It is prepared once and cached by its text; at most one execution of the
-  /// same text may exist at a time. Its error is kForeignSchema if the text does not fit the tables.
+  /// Returns a statement to bind and run. It is prepared once and cached by its text; at most one Statement
+  /// of the same text may exist at a time. Its error is kForeignSchema if the text does not match the schema.
   Statement Prepare(const std::string& sql);
   /// Whether a transaction is open.
   bool InTransaction() const { return sqlite3_get_autocommit(handle_.get()) == 0; }
-  /// Whether the file is empty although a write-ahead log with content lies beside it. SQLite would delete
-  /// the log; so this is to be asked before anything is read.
-  bool IsEmptyBesideLog() const;
-  /// Whether the file is shorter than its header says. False for a file without a header.
-  bool IsShorterThanHeader() const;
-  /// SQLite's text for the last failed call of this object or of its statements.
+  /// Whether the file is empty although its write-ahead log exists and has content. SQLite would delete the
+  /// log at the first read, so this must be checked before.
+  bool IsEmptyWithWal() const;
+  /// Whether the file is shorter than its header states. False for a file without a header.
+  bool IsTruncated() const;
+  /// SQLite's message for the last failed call of this object or of its statements.
   std::string ErrorMessage() const;
 
  private:
@@ -87,17 +87,18 @@
     void operator()(sqlite3_stmt* statement) const { sqlite3_finalize(statement); }
   };
 
-  // The file of the operating system, or of another VFS; null if there is none.
+  // The database file in the VFS; null if it is not open.
   sqlite3_file* File() const;
-  // Empty on an error.
+  // Returns an empty string on error.
   std::string ReadHeader() const;
 
   std::string path_;
   std::unique_ptr<sqlite3, Close> handle_;
-  std::map<std::string, std::unique_ptr<sqlite3_stmt, Finalize>> statements_;  // by text; closed before it
+  // By SQL text. Declared after handle_, so that the statements are finalized before it is closed.
+  std::map<std::string, std::unique_ptr<sqlite3_stmt, Finalize>> statements_;
 };
 
-/// The StorageErrc for a result code of SQLite, also an extended one; success for SQLITE_OK, ROW and DONE.
+/// Converts a primary or extended result code of SQLite; success for SQLITE_OK, SQLITE_ROW and SQLITE_DONE.
 std::error_code FromSqlite(int code);
 
 }  // namespace violetwing::sqlite
--- a/src/control/storage/storage_error.hpp
+++ b/src/control/storage/storage_error.hpp
@@ -1,4 +1,4 @@
-// The errors of the store: opening it, reading it, writing to it.
+// Errors of opening, reading and writing the store.
 #ifndef VIOLETWING_CONTROL_STORAGE_STORAGE_ERROR_HPP_
 #define VIOLETWING_CONTROL_STORAGE_STORAGE_ERROR_HPP_
 
@@ -9,25 +9,26 @@
 /// Error codes of the store, of category StorageCategory(). All but kFormatTooNew and kForeignSchema are
 /// equivalent to std::errc::io_error.
 enum class StorageErrc {
-  /// The file system or SQLite has failed. It may succeed later.
+  /// An I/O error of the file system or of SQLite. A retry may succeed.
   kIoError = 1,
-  /// A newer version has written the file, in a format that this one does not read. Equivalent to
+  /// The file was written by a newer version, in a format that this version cannot read. Equivalent to
   /// std::errc::not_supported.
   kFormatTooNew,
   /// The file is damaged: a page, a row, a stored entry or snapshot is malformed, or the log has a gap.
   kCorrupt,
-  /// The file or its directory is missing or may not be opened or written.
+  /// The file or its directory is missing, or access is denied.
   kCannotOpen,
   /// Another process has the store open.
   kLocked,
-  /// The disk is full. It may succeed later.
+  /// The disk is full. A retry may succeed.
   kFull,
-  /// The file is shorter than its own header says, or empty although a write-ahead log lies beside it.
+  /// The file is shorter than its header states, or empty although its write-ahead log has content.
   kTruncated,
-  /// The file holds data, but not all tables of a store.
+  /// The file has data, but lacks a table of the store.
   kMissingTable,
-  /// The tables have other columns than those of a store, or no known format. Equivalent to
-  /// std::errc::not_supported.
+  /// The tables have other columns than those of a store, or the format number is not one of a store.
+  /// Equivalent
+  /// to std::errc::not_supported.
   kForeignSchema,
 };
 
--- a/src/control/storage/store.cpp
+++ b/src/control/storage/store.cpp
@@ -9,7 +9,7 @@
 namespace violetwing {
 namespace {
 
-// Between two attempts at a commit that has failed.
+// Delay before a failed commit is retried.
 constexpr std::chrono::milliseconds kRetryDelay{200};
 
 }  // namespace
@@ -59,14 +59,14 @@
 }
 
 bool Store::CommitWithRetry(const std::vector<ShardWrite>& writes) {
-  std::error_code logged;
+  std::error_code logged_error;
   while (const std::error_code error = database_.Commit(writes)) {
-    if (std::exchange(logged, error) != error)
+    if (std::exchange(logged_error, error) != error)
       spdlog::error("store commit failed retry_ms={} error={}", kRetryDelay.count(), error.message());
     std::this_thread::sleep_for(kRetryDelay);
     if (IsStopped()) return false;
   }
-  if (logged) spdlog::info("store commit succeeded after retries");
+  if (logged_error) spdlog::info("store commit succeeded after retries");
   return true;
 }
 
--- a/src/control/storage/store.hpp
+++ b/src/control/storage/store.hpp
@@ -1,7 +1,7 @@
-// The durable store of a control process: a worker thread that commits the writes of all shards to the
-// database, since a sync may block for seconds. Queued writes are committed together (group commit). A write
-// that fails, for instance on a full disk, is retried until it succeeds: it is late but never lost, and
-// nothing that depends on it has been acknowledged.
+// The durable store of a control process. A worker thread commits the writes of all shards to the database,
+// since a sync may block for seconds. Queued writes are committed together (group commit). A write that
+// fails, for example on a full disk, is retried until it succeeds. Until then nothing that depends on it is
+// acknowledged.
 #ifndef VIOLETWING_CONTROL_STORAGE_STORE_HPP_
 #define VIOLETWING_CONTROL_STORAGE_STORE_HPP_
 
@@ -21,12 +21,11 @@
 
 namespace violetwing {
 
-/// Open and then Start are called once, before the others. Enqueue and TakeDurable may be called from any
-/// thread.
+/// Open and then Start must each be called once, before Enqueue and TakeDurable, which are thread-safe.
 class Store {
  public:
   Store() = default;
-  /// Stops the worker thread; writes that are still queued are dropped.
+  /// Stops the worker thread. Writes that are still queued are discarded.
   ~Store();
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
@@ -35,17 +34,17 @@
   Fallible<void> Open(const std::string& directory, const consensus::ReplicaId& new_id) {
     return database_.Open(directory, new_id);
   }
-  /// The id that stays with this disk.
+  /// The replica id stored on this disk.
   const consensus::ReplicaId& replica_id() const { return database_.replica_id(); }
-  /// What was stored when it was opened, by shard.
+  /// Contents of the store when it was opened, by shard.
   const std::map<int, consensus::StoredState>& stored() const { return database_.stored(); }
 
-  /// Starts the worker thread. It calls `notify` after each commit; TakeDurable then returns the tokens.
+  /// Starts the worker thread. It calls `notify` after each commit; TakeDurable then returns the new tokens.
   void Start(std::function<void()> notify);
-  /// Queues a write behind all earlier ones. `token` is returned by TakeDurable once the write would survive
-  /// a loss of power.
+  /// Queues a write after all earlier ones. TakeDurable returns `token` once the write would survive a power
+  /// loss.
   void Enqueue(ShardWrite write, std::uint64_t token);
-  /// Tokens of the writes that have become durable since the last call, in their order.
+  /// Returns the tokens of the writes that have become durable since the last call, in the order of Enqueue.
   std::vector<std::uint64_t> TakeDurable();
 
  private:
@@ -56,15 +55,15 @@
   };
 
   void RunWorker();
-  // Retries until the batch is committed; false if the store is stopped before.
+  // Retries until the batch is committed. Returns false if the store is stopped first.
   bool CommitWithRetry(const std::vector<ShardWrite>& writes);
   bool IsStopped();
 
-  ShardDatabase database_;  // of the worker thread, once it is started
+  ShardDatabase database_;  // used only by the worker thread once it is started
   std::function<void()> notify_;
   std::thread thread_;
 
-  std::mutex mutex_;  // guards what follows
+  std::mutex mutex_;  // guards the members below
   std::condition_variable wake_;
   Batch queue_;
   std::vector<std::uint64_t> durable_;
