--- a/tests/control/replication/commands_test.cpp
+++ b/tests/control/replication/commands_test.cpp
@@ -1,4 +1,4 @@
-// Encoding of the commands in the logs, and decoding of the present and the older stored form.
+// Encoding of the commands in the logs, and decoding of the current and the older encoding.
 #include "control/replication/commands.hpp"
 
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-TEST_CASE("Decoding an encoded command restores all fields, also with binary bodies") {
+TEST_CASE("Decoding an encoded command restores all fields, including binary bodies") {
   const std::string bytes("{\"a\":\"\\\"\"}\xff\x00", 12);
   const Envelope envelope = DecodeEnvelope(Encode(Envelope{"change/1", bytes})).value();
   CHECK(envelope.request_id == "change/1");
@@ -26,7 +26,7 @@
     CHECK(DecodeDeregistrationCommand(Encode(DeregistrationCommand{"i-1", phase})).value().phase == phase);
 }
 
-TEST_CASE("Commands of the older JSON form are decoded") {
+TEST_CASE("Commands in the older JSON encoding are decoded") {
   const Envelope envelope = DecodeEnvelope(R"({"request":"a/1","command":"{\"read\":true}"})").value();
   CHECK(envelope.request_id == "a/1");
   CHECK(std::holds_alternative<ReadCommand>(DecodeConfigurationCommand(envelope.command).value()));
--- a/tests/control/replication/replicated_state_machine_test.cpp
+++ b/tests/control/replication/replicated_state_machine_test.cpp
@@ -1,4 +1,4 @@
-// One shard in a process: which submitters get the answer to a command.
+// One shard in a process: answers to submitters, and snapshots that cannot be loaded.
 #include "control/replication/replicated_state_machine.hpp"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 namespace violetwing {
 namespace {
 
-// Answers each command with the command itself.
+// Returns each command as its answer.
 class EchoMachine : public StateMachine {
  public:
   std::string Apply(const std::string& command) override { return command; }
@@ -21,8 +21,8 @@
   std::error_code Load(const std::string&) override { return {}; }
 };
 
-// A process with the one replica of a shard. Its clock restarts with each incarnation, as after a loss
-// of power.
+// A process with the only replica of a shard. Its clock restarts with each incarnation, as after a power
+// loss.
 class Process {
  public:
   Process(std::string incarnation, consensus::StoredState& disk)
@@ -39,16 +39,16 @@
         request_id, command, kNow, {kTimeout, kTimeout},
         [&answers](const Result<std::string>& got) { answers.push_back(got ? got.value() : ""); });
   }
-  // The same request, forwarded by another process that has received it.
-  void Forward(const std::string& request_id, const std::string& command) {
+  // Handles the request as forwarded by another process.
+  void ReceiveForwarded(const std::string& request_id, const std::string& command) {
     shard_.OnForwardedProposal(Encode(Envelope{request_id, command}));
   }
-  std::size_t log_size() const { return shard_.replica().last(); }
+  std::size_t last_index() const { return shard_.replica().last(); }
   void Elect() {
     for (Micros at = kNow; !shard_.replica().leader(); at += 50'000) shard_.Tick(at);
   }
   void Expire() { shard_.Tick(kNow + kTimeout); }
-  void WriteAll() {
+  void CompleteWrites() {
     while (!writes_.empty()) {
       const auto [write, token] = std::move(writes_.front());
       writes_.pop_front();
@@ -87,55 +87,55 @@
 
 }  // namespace
 
-TEST_CASE("A command of an earlier incarnation does not answer a request of this one") {
+TEST_CASE("A command of an earlier incarnation does not answer a request of the current one") {
   consensus::StoredState disk;
   std::optional<Result<std::string>> ignored;
   {
     Process process("incarnation 1", disk);
     process.Elect();
     process.Submit("earlier", ignored);
-    process.WriteAll();
+    process.CompleteWrites();
   }
   REQUIRE(disk.entries.size() >= 2);
   Process process("incarnation 2", disk);
   std::optional<Result<std::string>> answer;
   process.Submit("later", answer);
   process.Elect();
-  process.WriteAll();
+  process.CompleteWrites();
   REQUIRE(answer);
   REQUIRE(answer->has_value());
   CHECK(answer->value() == "later");
 }
 
-TEST_CASE("Concurrent idempotent requests share one log entry, also when forwarded by a peer") {
+TEST_CASE("Concurrent idempotent requests share one log entry, including one forwarded by a peer") {
   consensus::StoredState disk;
   Process process("incarnation", disk);
   process.Elect();
-  const std::size_t before = process.log_size();
+  const std::size_t before = process.last_index();
   std::vector<std::string> answers;
   process.SubmitIdempotent("change", "large", answers);
   process.SubmitIdempotent("change", "large", answers);
-  process.Forward("change", "large");
-  CHECK(process.log_size() == before + 1);
-  process.WriteAll();
+  process.ReceiveForwarded("change", "large");
+  CHECK(process.last_index() == before + 1);
+  process.CompleteWrites();
   CHECK(answers == std::vector<std::string>{"large", "large"});
-  // Once it has been applied, the same request is a new command, answered from the state of that time.
+  // After it has been applied, the same request is a new command, answered from the current state.
   process.SubmitIdempotent("change", "large", answers);
-  process.WriteAll();
-  CHECK(process.log_size() == before + 2);
+  process.CompleteWrites();
+  CHECK(process.last_index() == before + 2);
   CHECK(answers.size() == 3);
 }
 
 namespace {
 
-// Refuses every snapshot.
-class UnreadableMachine : public EchoMachine {
+// Fails to load any snapshot.
+class FailingLoadMachine : public EchoMachine {
  public:
   std::error_code Load(const std::string&) override { return ControlErrc::kUnreadableState; }
 };
 
-// What a shard has handed to its host.
-struct HostLog {
+// Records the outputs of a shard.
+struct RecordingHost {
   int writes = 0;
   int messages = 0;
   std::vector<std::error_code> failures;
@@ -155,11 +155,11 @@
 
 }  // namespace
 
-TEST_CASE("A stored snapshot that cannot be loaded fails the shard, which then does nothing") {
+TEST_CASE("A stored snapshot that cannot be loaded fails the shard, which stays inactive") {
   consensus::StoredState disk;
   disk.snapshot = {5, 2, {{"disk", "here:1"}}, "state"};
-  UnreadableMachine machine;
-  HostLog host;
+  FailingLoadMachine machine;
+  RecordingHost host;
   ReplicatedStateMachine shard(1, "incarnation", {"disk", {}, disk, consensus::Timing{}, 1, 1'000'000},
                                machine, host.Outputs());
   shard.Start();
@@ -172,8 +172,8 @@
 
 TEST_CASE("A received snapshot that cannot be loaded is neither stored nor acknowledged") {
   const consensus::Members members{{"disk", "here:1"}, {"other", "there:1"}, {"third", "there:2"}};
-  UnreadableMachine machine;
-  HostLog host;
+  FailingLoadMachine machine;
+  RecordingHost host;
   ReplicatedStateMachine shard(1, "incarnation", {"disk", members, {}, consensus::Timing{}, 1, 1'000'000},
                                machine, host.Outputs());
   shard.Start();
@@ -190,7 +190,7 @@
   CHECK(host.messages == 0);
 }
 
-TEST_CASE("A command that is not applied in time ends with an unknown commit status") {
+TEST_CASE("A command that is not applied before its deadline fails with kCommitStatusUnknown") {
   consensus::StoredState disk;
   Process process("incarnation", disk);
   std::optional<Result<std::string>> answer;
--- a/tests/control/storage/power_loss_test.cpp
+++ b/tests/control/storage/power_loss_test.cpp
@@ -1,4 +1,4 @@
-// The store's file on a disk that loses power, or fails, at any of its operations.
+// Durability of the store's file on a disk that loses power or fails at any operation.
 #include <catch2/catch.hpp>
 #include <optional>
 #include <string>
@@ -26,49 +26,50 @@
   return kWorkload;
 }
 
-// What must be found after a loss of power: all that was acknowledged, and at most one commit more.
+// What the process has acknowledged. After a power loss the store must contain it, and at most one more
+// commit.
 struct Acknowledged {
   bool opened = false;
   std::size_t commits = 0;
 };
 
-// Opens an image as the next process does.
-class Reopening {
+// Opens disk images as a restarted process does, and checks their content.
+class ReopenChecker {
  public:
-  // What it reads that was never promised; empty if all is well. Throws nothing: it is called from within
-  // SQLite.
-  std::string Problem(const FaultyDisk::Image& image, const Acknowledged& acknowledged) {
+  // Returns a description of content that contradicts what was acknowledged; empty if there is none. Must not
+  // throw or use assertions, since SQLite's calls are on the stack.
+  std::string FindProblem(const FaultyDisk::Image& image, const Acknowledged& acknowledged) {
     ++checked_;
     disk_.Load(image);
     ShardDatabase database;
     const Fallible<void> opened = database.Open(disk_.directory(), kOtherId);
     if (!opened) return "not opened: " + opened.error().message;
-    if (acknowledged.opened && database.replica_id() != kDiskId) return "lost its id";
-    const std::optional<std::size_t> found = Find(database.stored(), acknowledged.commits);
+    if (acknowledged.opened && database.replica_id() != kDiskId) return "replica id lost";
+    const std::optional<std::size_t> found = FindCommitCount(database.stored(), acknowledged.commits);
     if (!found)
       return "neither the state after commit " + std::to_string(acknowledged.commits) + " nor the next";
-    if (!NeverFalls(database.stored(), Workload().states()[acknowledged.commits]))
-      return "a term or vote fell";
-    return checked_ % kUseEach == 0 ? ProblemInUse(database, *found) : std::string();
+    if (!PreservesHardStates(database.stored(), Workload().states()[acknowledged.commits]))
+      return "a term decreased or a vote changed";
+    return checked_ % kNextCommitInterval == 0 ? FindProblemInNextCommit(database, *found) : std::string();
   }
   void Check(const FaultyDisk::Image& image, const Acknowledged& acknowledged) {
-    CHECK(Problem(image, acknowledged).empty());
+    CHECK(FindProblem(image, acknowledged).empty());
   }
   std::size_t checked() const { return checked_; }
 
  private:
-  static constexpr std::size_t kUseEach = 16;
+  static constexpr std::size_t kNextCommitInterval = 16;
 
-  // How many commits the state is after.
-  static std::optional<std::size_t> Find(const StoredShards& stored, std::size_t acknowledged) {
+  // Returns the number of commits after which the store has this state; empty if it is none of those allowed.
+  static std::optional<std::size_t> FindCommitCount(const StoredShards& stored, std::size_t acknowledged) {
     const auto& states = Workload().states();
     if (stored == states[acknowledged]) return acknowledged;
     if (acknowledged + 1 < states.size() && stored == states[acknowledged + 1]) return acknowledged + 1;
     return std::nullopt;
   }
 
-  static bool NeverFalls(const StoredShards& stored, const StoredShards& promised) {
-    for (const auto& [shard, state] : promised) {
+  static bool PreservesHardStates(const StoredShards& stored, const StoredShards& acknowledged) {
+    for (const auto& [shard, state] : acknowledged) {
       const consensus::HardState& now = stored.at(shard).hard_state;
       const consensus::HardState& before = state.hard_state;
       if (now.term < before.term) return false;
@@ -77,17 +78,18 @@
     return true;
   }
 
-  // The next commit has to succeed, and to be there after another loss of power.
-  std::string ProblemInUse(ShardDatabase& database, std::size_t found) {
+  // Commits to the reopened store: the commit must succeed and survive another power loss.
+  std::string FindProblemInNextCommit(ShardDatabase& database, std::size_t found) {
     const auto& commits = Workload().commits();
     if (found == commits.size()) return {};
-    if (const std::error_code error = database.Commit(commits[found])) return "in use: " + error.message();
+    if (const std::error_code error = database.Commit(commits[found]))
+      return "next commit: " + error.message();
     FaultyDisk disk("/after_the_next_commit");
     disk.Load(disk_.ImageAfterPowerLoss(Survival::kNothing, random_));
     ShardDatabase next;
     const Fallible<void> opened = next.Open(disk.directory(), kOtherId);
-    if (!opened) return "in use, not opened: " + opened.error().message;
-    return next.stored() == Workload().states()[found + 1] ? "" : "in use: the next commit was lost";
+    if (!opened) return "not opened after the next commit: " + opened.error().message;
+    return next.stored() == Workload().states()[found + 1] ? "" : "the next commit was lost";
   }
 
   FaultyDisk disk_{"/reopened"};
@@ -95,8 +97,8 @@
   std::size_t checked_ = 0;
 };
 
-// Plays the workload on the disk until an error; what was acknowledged counts in `acknowledged`.
-std::error_code Play(FaultyDisk& disk, Acknowledged& acknowledged) {
+// Executes the workload on the disk until the first error, and counts the acknowledged commits.
+std::error_code RunWorkload(FaultyDisk& disk, Acknowledged& acknowledged) {
   ShardDatabase database;
   if (const auto opened = database.Open(disk.directory(), kDiskId); !opened) return opened.error().code;
   acknowledged.opened = true;
@@ -119,9 +121,8 @@
   CHECK(kinds.installed_snapshots >= 1);
 }
 
-TEST_CASE(
-    "After a loss of power at any operation the store holds all that was acknowledged, or one commit more") {
-  Reopening reopening;
+TEST_CASE("After a power loss at any operation the store has all acknowledged commits and at most one more") {
+  ReopenChecker checker;
   FaultyDisk disk("/disk");
   Acknowledged acknowledged;
   Random random(1);
@@ -130,45 +131,47 @@
   const auto lose_power = [&] {
     ++crash_points;
     for (const Survival survival : testing::kAllSurvivals) {
-      const std::string problem = reopening.Problem(disk.ImageAfterPowerLoss(survival, random), acknowledged);
+      const std::string problem =
+          checker.FindProblem(disk.ImageAfterPowerLoss(survival, random), acknowledged);
       if (problem.empty()) continue;
       problems.push_back("before operation " + std::to_string(disk.operations() + 1) + ", survival " +
                          std::to_string(static_cast<int>(survival)) + ": " + problem);
     }
   };
   disk.on_operation = lose_power;
-  REQUIRE_FALSE(Play(disk, acknowledged));
+  REQUIRE_FALSE(RunWorkload(disk, acknowledged));
   lose_power();
   for (const std::string& problem : problems) UNSCOPED_INFO(problem);
   CHECK(problems.empty());
   CHECK(acknowledged.commits == Workload().commits().size());
-  CHECK(reopening.checked() == crash_points * std::size(testing::kAllSurvivals));
-  // So many that checkpoints of the write-ahead log are among them.
+  CHECK(checker.checked() == crash_points * std::size(testing::kAllSurvivals));
+  // Enough operations to include checkpoints of the write-ahead log.
   CHECK(crash_points > 600);
-  WARN(crash_points << " crash points, " << reopening.checked() << " images");
+  WARN(crash_points << " crash points, " << checker.checked() << " images");
 }
 
-// The process sees the failure, and its last calls must not harm what is stored.
-TEST_CASE("A process that sees its power end at an operation leaves what it has acknowledged") {
+// Unlike in the test above, the process notices the power loss; its cleanup must not damage the stored data.
+TEST_CASE(
+    "Acknowledged commits survive the cleanup of a process whose disk loses power during an operation") {
   constexpr std::uint64_t kStride = 23;
-  Reopening reopening;
+  ReopenChecker checker;
   Random random(2);
   for (std::uint64_t operation = 1;; operation += kStride) {
-    INFO("power ends at operation " << operation);
+    INFO("power lost at operation " << operation);
     FaultyDisk disk("/disk");
-    disk.power_ends_at = operation;
+    disk.power_lost_at = operation;
     Acknowledged acknowledged;
-    const std::error_code error = Play(disk, acknowledged);
+    const std::error_code error = RunWorkload(disk, acknowledged);
     if (!error) break;
     for (const Survival survival : testing::kAllSurvivals)
-      reopening.Check(disk.ImageAfterPowerLoss(survival, random), acknowledged);
+      checker.Check(disk.ImageAfterPowerLoss(survival, random), acknowledged);
   }
-  CHECK(reopening.checked() > 100);
+  CHECK(checker.checked() > 100);
 }
 
-TEST_CASE("A commit whose write or sync fails reports it and succeeds when it is committed again") {
+TEST_CASE("A commit with a failed write or sync reports the error and succeeds when it is retried") {
   constexpr std::uint64_t kStride = 13;
-  Reopening reopening;
+  ReopenChecker checker;
   Random random(3);
   int failures = 0;
   bool reached = true;
@@ -177,7 +180,7 @@
     FaultyDisk disk("/disk");
     ShardDatabase database;
     REQUIRE(database.Open(disk.directory(), kDiskId));
-    disk.operation_fails_at = disk.operations() + operation;
+    disk.failing_operation = disk.operations() + operation;
     Acknowledged acknowledged{true, 0};
     for (const testing::Commit& commit : Workload().commits()) {
       std::error_code error;
@@ -187,19 +190,19 @@
       }
       ++acknowledged.commits;
     }
-    reached = disk.operations() >= disk.operation_fails_at;
+    reached = disk.operations() >= disk.failing_operation;
     for (const Survival survival : testing::kAllSurvivals)
-      reopening.Check(disk.ImageAfterPowerLoss(survival, random), acknowledged);
+      checker.Check(disk.ImageAfterPowerLoss(survival, random), acknowledged);
   }
   CHECK(failures > 20);
 }
 
-TEST_CASE("A full disk fails commits as kFull, and the store goes on once there is room") {
+TEST_CASE("Commits on a full disk fail with kFull and succeed once space is available") {
   FaultyDisk disk("/disk");
   ShardDatabase database;
   REQUIRE(database.Open(disk.directory(), kDiskId));
   Acknowledged acknowledged{true, 0};
-  Reopening reopening;
+  ReopenChecker checker;
   Random random(4);
   int failures = 0;
   for (const testing::Commit& commit : Workload().commits()) {
@@ -209,20 +212,20 @@
     if (const std::error_code error = database.Commit(commit)) {
       CHECK(error == StorageErrc::kFull);
       ++failures;
-      reopening.Check(disk.ImageAfterPowerLoss(Survival::kEverything, random), acknowledged);
+      checker.Check(disk.ImageAfterPowerLoss(Survival::kEverything, random), acknowledged);
       disk.capacity_bytes.reset();
       REQUIRE_FALSE(database.Commit(commit));
     }
     ++acknowledged.commits;
   }
   CHECK(failures > 10);
-  reopening.Check(disk.ImageAfterPowerLoss(Survival::kNothing, random), acknowledged);
+  checker.Check(disk.ImageAfterPowerLoss(Survival::kNothing, random), acknowledged);
 }
 
-TEST_CASE("A store opens on a full disk, and a new one reports that the disk is full") {
+TEST_CASE("An existing store opens on a full disk, and creating a store there fails with kFull") {
   FaultyDisk disk("/disk");
   Acknowledged acknowledged;
-  REQUIRE_FALSE(Play(disk, acknowledged));
+  REQUIRE_FALSE(RunWorkload(disk, acknowledged));
   disk.capacity_bytes = 1;
   {
     ShardDatabase database;
@@ -235,16 +238,16 @@
   CHECK(database.Open(empty.directory(), kOtherId).error().code == StorageErrc::kFull);
 }
 
-TEST_CASE("A read error at any point of opening the store is an error, never the end of the rows") {
+TEST_CASE("A read error at any point of opening the store is reported, not taken for the end of the rows") {
   FaultyDisk disk("/disk");
   Acknowledged acknowledged;
-  REQUIRE_FALSE(Play(disk, acknowledged));
+  REQUIRE_FALSE(RunWorkload(disk, acknowledged));
   const FaultyDisk::Image image = disk.CurrentFiles();
   std::uint64_t failed = 0;
   for (std::uint64_t read = 1;; ++read) {
     INFO("reads fail from " << read << " on");
     disk.Load(image);
-    disk.reads_fail_from = read;
+    disk.first_failing_read = read;
     ShardDatabase database;
     const Fallible<void> opened = database.Open(disk.directory(), kOtherId);
     if (disk.reads() < read) {
@@ -256,17 +259,16 @@
     CHECK(opened.error().code == std::errc::io_error);
     ++failed;
   }
-  // Some of them in the middle of the log's rows.
+  // Enough reads to include some between the rows of the log.
   CHECK(failed > 20);
 }
 
-// No store can make up for it; the checks of this file have to notice.
-TEST_CASE(
-    "A disk that answers syncs and loses what it wrote is found out by the check of what was promised") {
+// No store can tolerate such a disk. The test verifies that the checks of this file detect the loss.
+TEST_CASE("The check of acknowledged commits detects a disk that ignores syncs") {
   FaultyDisk disk("/disk");
   disk.ignores_syncs = true;
   Acknowledged acknowledged;
-  REQUIRE_FALSE(Play(disk, acknowledged));
+  REQUIRE_FALSE(RunWorkload(disk, acknowledged));
   Random random(5);
   FaultyDisk reopened("/reopened");
   reopened.Load(disk.ImageAfterPowerLoss(Survival::kNothing, random));
--- a/tests/control/storage/store_test.cpp
+++ b/tests/control/storage/store_test.cpp
@@ -1,4 +1,4 @@
-// What a store file holds after writes, as the next process reads it.
+// Contents of a store file after writes, as a restarted process reads them, and errors of opening a store.
 #include "control/storage/store.hpp"
 
 #include <sqlite3.h>
@@ -43,11 +43,11 @@
 Entry Command(consensus::Term term, const std::string& text) { return {term, EntryKind::kCommand, text, {}}; }
 
 // Enqueues all writes and returns once they are durable.
-void WriteAll(Store& store, std::vector<ShardWrite> writes) {
+void WriteDurably(Store& store, std::vector<ShardWrite> writes) {
   std::mutex mutex;
   std::condition_variable wake;
   std::size_t done = 0;
-  const std::size_t all = writes.size();
+  const std::size_t expected = writes.size();
   store.Start([&] {
     const std::lock_guard<std::mutex> lock(mutex);
     done += store.TakeDurable().size();
@@ -56,7 +56,7 @@
   std::uint64_t token = 0;
   for (ShardWrite& write : writes) store.Enqueue(std::move(write), ++token);
   std::unique_lock<std::mutex> lock(mutex);
-  REQUIRE(wake.wait_for(lock, std::chrono::seconds(20), [&] { return done == all; }));
+  REQUIRE(wake.wait_for(lock, std::chrono::seconds(20), [&] { return done == expected; }));
 }
 
 ShardWrite Entries(int shard, consensus::Index first, std::vector<Entry> entries) {
@@ -67,7 +67,7 @@
   return write;
 }
 
-// Modifies the file of a store that is closed, or creates it, by SQL statements.
+// Executes SQL statements on the file of a closed store, which is created if it is missing.
 void Modify(const TemporaryDirectory& directory, const std::string& statements) {
   sqlite3* database = nullptr;
   REQUIRE(sqlite3_open((directory.path() + "/control.db").c_str(), &database) == SQLITE_OK);
@@ -75,7 +75,7 @@
   sqlite3_close(database);
 }
 
-// Creates a store in the directory and modifies its file by SQL statements.
+// Creates a store in the directory and executes SQL statements on its file.
 void CreateAndModify(const TemporaryDirectory& directory, const std::string& statements) {
   {
     Store store;
@@ -95,20 +95,20 @@
     ShardWrite vote;
     vote.shard = 1;
     vote.hard_state = consensus::HardState{7, "disk/b"};
-    WriteAll(store, {vote, Entries(1, 1, {Command(1, "x"), Command(1, "y"), Command(1, "z")}),
-                     Entries(1, 2, {Command(2, "new y")}), Entries(2, 1, {Command(1, "other")})});
+    WriteDurably(store, {vote, Entries(1, 1, {Command(1, "x"), Command(1, "y"), Command(1, "z")}),
+                         Entries(1, 2, {Command(2, "new y")}), Entries(2, 1, {Command(1, "other")})});
   }
   Store store;
   REQUIRE(store.Open(directory.path(), "disk/never used"));
   CHECK(store.replica_id() == "disk/a");
-  const consensus::StoredState& one = store.stored().at(1);
-  CHECK(one.hard_state == consensus::HardState{7, "disk/b"});
-  REQUIRE(one.entries.size() == 2);
-  CHECK(one.entries[1].command == "new y");
+  const consensus::StoredState& shard_1 = store.stored().at(1);
+  CHECK(shard_1.hard_state == consensus::HardState{7, "disk/b"});
+  REQUIRE(shard_1.entries.size() == 2);
+  CHECK(shard_1.entries[1].command == "new y");
   CHECK(store.stored().at(2).entries.size() == 1);
 }
 
-TEST_CASE("A snapshot replaces the log entries up to its index, or the whole log") {
+TEST_CASE("A snapshot replaces the log entries up to its index, or all of them") {
   for (const bool replaces_log : {false, true}) {
     const TemporaryDirectory directory;
     {
@@ -118,15 +118,15 @@
       snapshot.shard = 1;
       snapshot.replaces_log = replaces_log;
       snapshot.snapshot = consensus::Snapshot{2, 1, {{"disk/a", "10.0.0.1:1"}}, "state"};
-      WriteAll(store, {Entries(1, 1, {Command(1, "x"), Command(1, "y"), Command(1, "z")}), snapshot});
+      WriteDurably(store, {Entries(1, 1, {Command(1, "x"), Command(1, "y"), Command(1, "z")}), snapshot});
     }
     Store store;
     REQUIRE(store.Open(directory.path(), "disk/a"));
-    const consensus::StoredState& one = store.stored().at(1);
-    CHECK(one.snapshot.index == 2);
-    CHECK(one.snapshot.state == "state");
-    CHECK(one.snapshot.members.size() == 1);
-    CHECK(one.entries.size() == (replaces_log ? 0 : 1));
+    const consensus::StoredState& shard_1 = store.stored().at(1);
+    CHECK(shard_1.snapshot.index == 2);
+    CHECK(shard_1.snapshot.state == "state");
+    CHECK(shard_1.snapshot.members.size() == 1);
+    CHECK(shard_1.entries.size() == (replaces_log ? 0 : 1));
   }
 }
 
@@ -140,30 +140,30 @@
   CHECK(failure.message.find("newer version") != std::string::npos);
 }
 
-TEST_CASE("Entries and snapshots of format 1 (JSON) are read beside newer ones") {
+TEST_CASE("Entries and snapshots of format 1 (JSON) are read together with newer ones") {
   const TemporaryDirectory directory;
-  const char* version_1 = R"(UPDATE identity SET format = 1;
+  const char* format_1 = R"(UPDATE identity SET format = 1;
     INSERT INTO snapshot VALUES (1, '{"index":4,"term":2,"members":[{"id":"a","address":"1:2"}],"state":"s"}');
     INSERT INTO entry VALUES (1, 5, '{"term":2,"kind":"command","command":"{\"request\":\"r\"}"}');
     INSERT INTO entry VALUES (1, 6, '{"term":3,"kind":"noop"}');
     INSERT INTO entry VALUES (1, 7, '{"term":3,"kind":"members","members":[{"id":"b","address":"3:4"}]}');)";
-  CreateAndModify(directory, version_1);
+  CreateAndModify(directory, format_1);
   {
     Store store;
     REQUIRE(store.Open(directory.path(), "disk/never used"));
-    WriteAll(store, {Entries(1, 8, {Command(4, std::string("\xff\x00x", 3))})});
+    WriteDurably(store, {Entries(1, 8, {Command(4, std::string("\xff\x00x", 3))})});
   }
   Store store;
   REQUIRE(store.Open(directory.path(), "disk/never used"));
-  const consensus::StoredState& one = store.stored().at(1);
-  CHECK(one.snapshot.index == 4);
-  CHECK(one.snapshot.state == "s");
-  CHECK(one.snapshot.members == consensus::Members{{"a", "1:2"}});
-  REQUIRE(one.entries.size() == 4);
-  CHECK(one.entries[0].command == "{\"request\":\"r\"}");
-  CHECK(one.entries[1].kind == EntryKind::kNoop);
-  CHECK(one.entries[2].members == consensus::Members{{"b", "3:4"}});
-  CHECK(one.entries[3].command == std::string("\xff\x00x", 3));
+  const consensus::StoredState& shard_1 = store.stored().at(1);
+  CHECK(shard_1.snapshot.index == 4);
+  CHECK(shard_1.snapshot.state == "s");
+  CHECK(shard_1.snapshot.members == consensus::Members{{"a", "1:2"}});
+  REQUIRE(shard_1.entries.size() == 4);
+  CHECK(shard_1.entries[0].command == "{\"request\":\"r\"}");
+  CHECK(shard_1.entries[1].kind == EntryKind::kNoop);
+  CHECK(shard_1.entries[2].members == consensus::Members{{"b", "3:4"}});
+  CHECK(shard_1.entries[3].command == std::string("\xff\x00x", 3));
 }
 
 TEST_CASE("Opening a store with a malformed entry fails and names the entry") {
@@ -187,8 +187,8 @@
 
 namespace {
 
-// A store with a snapshot and entries of shard 1, and a hard state.
-void CreateFilled(const TemporaryDirectory& directory) {
+// Creates a store with a hard state, a snapshot and entries of shard 1.
+void CreatePopulated(const TemporaryDirectory& directory) {
   Store store;
   REQUIRE(store.Open(directory.path(), "disk/a"));
   ShardWrite first;
@@ -198,10 +198,10 @@
   first.snapshot = consensus::Snapshot{2, 1, {{"disk/a", "10.0.0.1:1"}}, std::string(20'000, 's')};
   std::vector<Entry> entries;
   for (int i = 0; i < 20; ++i) entries.push_back(Command(7, std::string(1'000, static_cast<char>('a' + i))));
-  WriteAll(store, {first, Entries(1, 3, std::move(entries))});
+  WriteDurably(store, {first, Entries(1, 3, std::move(entries))});
 }
 
-Failure FailureToOpen(const TemporaryDirectory& directory) {
+Failure OpenFailure(const TemporaryDirectory& directory) {
   Store store;
   const Fallible<void> opened = store.Open(directory.path(), "disk/never used");
   REQUIRE(opened.has_error());
@@ -221,49 +221,49 @@
 
 }  // namespace
 
-TEST_CASE("A missing table is named, also where the other tables can be read") {
+TEST_CASE("Opening a store without one of its tables fails and names the table") {
   for (const std::string table : {"identity", "hard_state", "snapshot", "entry"}) {
     const TemporaryDirectory directory;
-    CreateFilled(directory);
+    CreatePopulated(directory);
     Modify(directory, "DROP TABLE " + table);
-    const Failure failure = FailureToOpen(directory);
+    const Failure failure = OpenFailure(directory);
     CHECK(failure.code == StorageErrc::kMissingTable);
     CHECK(failure.message.find("table " + table) != std::string::npos);
   }
 }
 
-TEST_CASE("Tables with other columns, and identities that are none, are a foreign schema") {
+TEST_CASE("Tables with other columns and malformed identities are reported as a foreign schema") {
   for (const char* statements :
        {"ALTER TABLE hard_state RENAME COLUMN vote TO ballot", "ALTER TABLE entry ADD COLUMN more",
         "ALTER TABLE identity RENAME COLUMN format TO form", "UPDATE identity SET format = 0",
         "UPDATE identity SET format = 'two'", "UPDATE identity SET disk = x'00'"}) {
     INFO(statements);
     const TemporaryDirectory directory;
-    CreateFilled(directory);
+    CreatePopulated(directory);
     Modify(directory, statements);
-    const Failure failure = FailureToOpen(directory);
+    const Failure failure = OpenFailure(directory);
     CHECK(failure.code == StorageErrc::kForeignSchema);
     CHECK(failure.code == std::errc::not_supported);
   }
 }
 
-TEST_CASE("An identity that is missing or there twice, and a hard state that is none, are corrupt") {
+TEST_CASE("A missing or duplicate identity, a malformed hard state and a gap in the log are corrupt") {
   for (const char* statements : {"DELETE FROM identity", "INSERT INTO identity VALUES (2, 'disk/b')",
                                  "UPDATE hard_state SET term = 'seven'", "UPDATE hard_state SET vote = x'00'",
                                  "DELETE FROM entry WHERE position = 4"}) {
     INFO(statements);
     const TemporaryDirectory directory;
-    CreateFilled(directory);
+    CreatePopulated(directory);
     Modify(directory, statements);
-    CHECK(FailureToOpen(directory).code == StorageErrc::kCorrupt);
+    CHECK(OpenFailure(directory).code == StorageErrc::kCorrupt);
   }
 }
 
-// Whichever part of the file is damaged, what opens is what was stored.
-TEST_CASE("A damaged page is corrupt, or holds nothing of the store") {
+// A store that opens in spite of the damage must have exactly the stored data.
+TEST_CASE("A damaged page is reported as corrupt, unless it contains no data of the store") {
   constexpr std::size_t kPageBytes = 4096;
   const TemporaryDirectory directory;
-  CreateFilled(directory);
+  CreatePopulated(directory);
   const std::string path = directory.path() + "/control.db";
   const std::string content = ReadFile(path);
   consensus::StoredState stored;
@@ -293,51 +293,51 @@
   CHECK(corrupt >= pages - 2);
 }
 
-TEST_CASE("One changed byte in a stored snapshot or entry is corrupt") {
+TEST_CASE("One changed byte in a stored snapshot or entry is reported as corrupt") {
   for (const char* statements :
        {"UPDATE snapshot SET body = CAST(replace(body, 'ssss', 'sssS') AS BLOB)",
         "UPDATE entry SET body = CAST(replace(body, 'cccccccc', 'ccccCccc') AS BLOB) WHERE position = 5"}) {
     const TemporaryDirectory directory;
-    CreateFilled(directory);
+    CreatePopulated(directory);
     Modify(directory, statements);
-    const Failure failure = FailureToOpen(directory);
+    const Failure failure = OpenFailure(directory);
     CHECK(failure.code == StorageErrc::kCorrupt);
     CHECK(failure.message.find("checksum") != std::string::npos);
   }
 }
 
-TEST_CASE("A file that is cut short, or emptied beside its log, is truncated") {
+TEST_CASE("A file that is cut off, or empty with a write-ahead log, is reported as truncated") {
   const TemporaryDirectory directory;
-  CreateFilled(directory);
+  CreatePopulated(directory);
   const std::string path = directory.path() + "/control.db";
   const std::string content = ReadFile(path);
   WriteFile(path, content.substr(0, content.size() / 2));
-  CHECK(FailureToOpen(directory).code == StorageErrc::kTruncated);
+  CHECK(OpenFailure(directory).code == StorageErrc::kTruncated);
   WriteFile(path, "");
   WriteFile(path + "-wal", "the log of what was stored");
-  CHECK(FailureToOpen(directory).code == StorageErrc::kTruncated);
+  CHECK(OpenFailure(directory).code == StorageErrc::kTruncated);
   CHECK(ReadFile(path + "-wal") == "the log of what was stored");
 }
 
-TEST_CASE("A file that is no database is corrupt and stays as it is") {
+TEST_CASE("A file that is not a database is reported as corrupt and not modified") {
   const TemporaryDirectory directory;
   const std::string path = directory.path() + "/control.db";
   const std::string content(8192, 'x');
   WriteFile(path, content);
-  CHECK(FailureToOpen(directory).code == StorageErrc::kCorrupt);
+  CHECK(OpenFailure(directory).code == StorageErrc::kCorrupt);
   CHECK(ReadFile(path) == content);
 }
 
-TEST_CASE("A store that is open cannot be opened by another process") {
+TEST_CASE("An open store cannot be opened a second time") {
   const TemporaryDirectory directory;
-  CreateFilled(directory);
-  Store holder;
-  REQUIRE(holder.Open(directory.path(), "disk/never used"));
-  CHECK(FailureToOpen(directory).code == StorageErrc::kLocked);
+  CreatePopulated(directory);
+  Store open_store;
+  REQUIRE(open_store.Open(directory.path(), "disk/never used"));
+  CHECK(OpenFailure(directory).code == StorageErrc::kLocked);
 }
 
-// As versions before left it when they ended between two tables.
-TEST_CASE("A file with some empty tables and no identity is a new store") {
+// Earlier versions left such a file if they exited while they created the tables.
+TEST_CASE("A file with some empty tables and no identity is opened as a new store") {
   const TemporaryDirectory directory;
   Modify(directory,
          "CREATE TABLE identity (format INTEGER NOT NULL, disk TEXT NOT NULL);"
@@ -348,7 +348,7 @@
   CHECK(store.stored().empty());
 }
 
-TEST_CASE("A write is durable only once its sync has ended, however long the disk hangs") {
+TEST_CASE("A write is reported as durable only after its sync has completed, even if the disk hangs") {
   testing::FaultyDisk disk("/hanging");
   Store store;
   REQUIRE(store.Open(disk.directory(), "disk/a"));
@@ -378,7 +378,7 @@
   CHECK(store.TakeDurable() == std::vector<std::uint64_t>{1});
 }
 
-TEST_CASE("A store file that an earlier release has written (format 2) is opened and extended") {
+TEST_CASE("A store file written by an earlier release (format 2) is opened and extended") {
   const TemporaryDirectory directory;
   const auto fixture = std::filesystem::path(VIOLETWING_STORE_FIXTURES) / "format_2.db";
   REQUIRE(std::filesystem::copy_file(fixture, directory.path() + "/control.db"));
@@ -387,7 +387,7 @@
     REQUIRE(store.Open(directory.path(), "disk/never used"));
     CHECK(store.replica_id() == "founder/10.0.0.1:100");
     REQUIRE(store.stored().size() == 2);
-    WriteAll(store, {Entries(0, 5, {Command(4, "new")})});
+    WriteDurably(store, {Entries(0, 5, {Command(4, "new")})});
   }
   Store store;
   REQUIRE(store.Open(directory.path(), "disk/never used"));
--- a/tests/testing/database_disk.hpp
+++ b/tests/testing/database_disk.hpp
@@ -1,5 +1,5 @@
-// A machine's disk for the simulated group: the database that the control processes ship, on a disk that
-// loses power between any two operations.
+// The disk of a machine in a simulated consensus group: the database of the control processes, on a disk that
+// may lose power at any operation.
 #ifndef VIOLETWING_TESTS_TESTING_DATABASE_DISK_HPP_
 #define VIOLETWING_TESTS_TESTING_DATABASE_DISK_HPP_
 
@@ -17,10 +17,10 @@
 
 namespace violetwing::testing {
 
-/// Holds one shard, number 0. What it does that it must not do is collected in violations().
+/// Stores one shard, number 0. Incorrect behavior of the database is collected in violations().
 class DatabaseDisk {
  public:
-  /// An empty disk; `directory` as for FaultyDisk.
+  /// Creates an empty disk. `directory` as for FaultyDisk.
   DatabaseDisk(const std::string& directory, consensus::ReplicaId id, std::uint64_t seed)
       : disk_(directory), id_(std::move(id)), random_(seed, directory) {
     if (!Open()) violations_.push_back(disk_.directory() + ": a new store cannot be opened");
@@ -28,22 +28,22 @@
 
   const std::vector<std::string>& violations() const { return violations_; }
 
-  /// Commits with one transaction, on a disk that is sound.
+  /// Commits the writes in one transaction, without faults.
   void Commit(const std::vector<ShardWrite>& writes) {
     if (const std::error_code error = database_->Commit(writes))
       violations_.push_back(disk_.directory() + ": commit: " + error.message());
     for (const ShardWrite& write : writes) ApplyWrite(committed_, write);
   }
 
-  /// The power ends while `in_progress` is committed: before, at any operation, or after. What is found
-  /// afterwards has either all of it or nothing.
+  /// Loses power before, during or after the commit of `in_progress`. The disk must afterwards contain all of
+  /// these writes or none.
   void LosePower(const std::vector<ShardWrite>& in_progress) {
-    constexpr std::uint64_t kMostOperations = 16;
-    if (database_ == nullptr) return;  // the process had ended already
+    constexpr std::uint64_t kMaxOperations = 16;
+    if (database_ == nullptr) return;  // the process has already exited
     consensus::StoredState with_commit = committed_;
     for (const ShardWrite& write : in_progress) ApplyWrite(with_commit, write);
     if (!in_progress.empty()) {
-      disk_.power_ends_at = disk_.operations() + 1 + random_.Below(kMostOperations);
+      disk_.power_lost_at = disk_.operations() + 1 + random_.Below(kMaxOperations);
       const bool acknowledged = !database_->Commit(in_progress);
       if (acknowledged) committed_ = with_commit;
     }
@@ -51,17 +51,17 @@
     const FaultyDisk::Image image = disk_.ImageAfterPowerLoss(survival, random_);
     database_.reset();
     disk_.Load(image);
-    in_progress_ = std::move(with_commit);
+    after_interrupted_commit_ = std::move(with_commit);
   }
 
-  /// Opens the database for the next process. Empty where the disk fails to read, as it sometimes does once:
-  /// the process then ends instead of starting.
+  /// Opens the database for the next process. Returns empty if an injected read error prevents that; the
+  /// process then exits instead of starting.
   std::optional<consensus::StoredState> Reopen() {
-    constexpr std::uint64_t kReadsOfAStart = 12;
-    constexpr std::uint64_t kFailureOneIn = 4;
-    if (random_.Below(kFailureOneIn) == 0) disk_.reads_fail_from = 1 + random_.Below(kReadsOfAStart);
+    constexpr std::uint64_t kReadsPerOpen = 12;
+    constexpr std::uint64_t kFailOneOpenIn = 4;
+    if (random_.Below(kFailOneOpenIn) == 0) disk_.first_failing_read = 1 + random_.Below(kReadsPerOpen);
     const bool opened = Open();
-    disk_.reads_fail_from = 0;
+    disk_.first_failing_read = 0;
     if (!opened) {
       database_.reset();
       return std::nullopt;
@@ -69,10 +69,10 @@
     const auto stored = database_->stored().find(0);
     const consensus::StoredState found =
         stored == database_->stored().end() ? consensus::StoredState() : stored->second;
-    if (found != committed_ && found != in_progress_)
+    if (found != committed_ && found != after_interrupted_commit_)
       violations_.push_back(disk_.directory() + ": holds neither what was committed nor the commit after it");
     if (database_->replica_id() != id_) violations_.push_back(disk_.directory() + ": has another id");
-    committed_ = in_progress_ = found;
+    committed_ = after_interrupted_commit_ = found;
     return found;
   }
 
@@ -85,9 +85,9 @@
   FaultyDisk disk_;
   const consensus::ReplicaId id_;
   Random random_;
-  std::unique_ptr<ShardDatabase> database_;  // closed before the disk ends
-  consensus::StoredState committed_;         // acknowledged
-  consensus::StoredState in_progress_;       // with the commit that the loss of power has interrupted
+  std::unique_ptr<ShardDatabase> database_;          // declared after disk_, so that it is closed first
+  consensus::StoredState committed_;                 // state after the acknowledged commits
+  consensus::StoredState after_interrupted_commit_;  // also with the commit interrupted by the power loss
   std::vector<std::string> violations_;
 };
 
--- a/tests/testing/faulty_disk.cpp
+++ b/tests/testing/faulty_disk.cpp
@@ -19,7 +19,8 @@
 
 // ---- The VFS ----
 
-// An open file, in memory that SQLite provides. Its base is a C structure, so it is no virtual class.
+// An open file, constructed in memory that SQLite provides. Its base is a C structure, so it has no virtual
+// functions.
 class FaultyFile : public sqlite3_file {
  public:
   static FaultyFile& Of(sqlite3_file* file) { return *static_cast<FaultyFile*>(file); }
@@ -86,7 +87,8 @@
     return SQLITE_OK;
   }
   static int FileControl(sqlite3_file*, int, void*) { return SQLITE_NOTFOUND; }
-  static int SectorSize(sqlite3_file*) { return 4096; }  // as of SQLite's own VFS for Unix, with the next one
+  // Sector size and characteristics are those of SQLite's VFS for Unix.
+  static int SectorSize(sqlite3_file*) { return 4096; }
   static int DeviceCharacteristics(sqlite3_file*) { return SQLITE_IOCAP_POWERSAFE_OVERWRITE; }
 
   static constexpr sqlite3_io_methods kMethods = {1,
@@ -115,7 +117,7 @@
   bool holds_lock_ = false;
 };
 
-// SQLite's default VFS while there is any disk.
+// SQLite's default VFS while any FaultyDisk exists.
 class FaultyFileSystem {
  public:
   static void Add(FaultyDisk& disk) {
@@ -163,7 +165,7 @@
     sqlite3_vfs_register(&vfs, /*makeDflt=*/1);
   }
 
-  // The disk of the path, and the name of the file there.
+  // Returns the disk that contains the path, or null, and the name of the file on it.
   static std::pair<FaultyDisk*, std::string> Find(const std::string& path) {
     const std::size_t slash = path.rfind('/');
     const auto disk = Disks().find(path.substr(0, slash));
@@ -173,8 +175,8 @@
 
   static int Open(sqlite3_vfs*, const char* path, sqlite3_file* out, int flags, int* flags_out) {
     auto* const file = new (out) FaultyFile();
-    file->pMethods = nullptr;                     // nothing to close yet
-    if (path == nullptr) return SQLITE_CANTOPEN;  // temporary files: this program needs none
+    file->pMethods = nullptr;                     // tells SQLite not to call xClose after an error
+    if (path == nullptr) return SQLITE_CANTOPEN;  // a temporary file, which the store never needs
     const auto [disk, name] = Find(path);
     if (disk == nullptr) return SQLITE_CANTOPEN;
     if (disk->power_is_off_) return SQLITE_IOERR;
@@ -205,7 +207,7 @@
     if (disk == nullptr) return SQLITE_OK;
     if (disk->power_is_off_) return SQLITE_IOERR_ACCESS;
     const auto file = disk->files_.find(name);
-    // An empty file does not count as one, as with SQLite's own VFS for Unix.
+    // An empty file is reported as missing, as by SQLite's VFS for Unix.
     *result = file != disk->files_.end() && !file->second->current.empty() ? 1 : 0;
     return SQLITE_OK;
   }
@@ -228,17 +230,17 @@
   if (power_is_off_) return SQLITE_IOERR;
   if (on_operation) on_operation();
   ++operations_;
-  if (power_ends_at > 0 && operations_ >= power_ends_at) {
+  if (power_lost_at > 0 && operations_ >= power_lost_at) {
     power_is_off_ = true;
-    return SQLITE_OK;  // the operation has begun; its caller sees that the power is off
+    return SQLITE_OK;  // the operation may take effect; its caller checks power_is_off_
   }
-  return operations_ == operation_fails_at ? SQLITE_IOERR : SQLITE_OK;
+  return operations_ == failing_operation ? SQLITE_IOERR : SQLITE_OK;
 }
 
 int FaultyDisk::BeginRead() {
   if (power_is_off_) return SQLITE_IOERR_READ;
   ++reads_;
-  return reads_fail_from > 0 && reads_ >= reads_fail_from ? SQLITE_IOERR_READ : SQLITE_OK;
+  return first_failing_read > 0 && reads_ >= first_failing_read ? SQLITE_IOERR_READ : SQLITE_OK;
 }
 
 int FaultyDisk::DoWrite(File& file, Write write) {
@@ -256,7 +258,7 @@
   const int code = BeginOperation();
   if (power_is_off_) return SQLITE_IOERR_FSYNC;
   if (code != SQLITE_OK) {
-    // Readers still see the pages, which the disk will never have, until they are written again.
+    // The unsynced pages stay visible to readers, but never reach the disk unless they are written again.
     file.unsynced.clear();
     return SQLITE_IOERR_FSYNC;
   }
@@ -280,7 +282,7 @@
 bool FaultyDisk::HasRoomFor(const File& file, const Write& write) const {
   if (!capacity_bytes || write.truncates) return true;
   std::size_t used = 0;
-  for (const auto& [name, one] : files_) used += one->current.size();
+  for (const auto& [name, existing] : files_) used += existing->current.size();
   const std::size_t end = write.offset + write.bytes.size();
   return used + (end > file.current.size() ? end - file.current.size() : 0) <= *capacity_bytes;
 }
@@ -300,12 +302,13 @@
   content.replace(write.offset, write.bytes.size(), write.bytes);
 }
 
-std::string FaultyDisk::Survivors(const File& file, Survival survival, Random& random) {
+std::string FaultyDisk::ContentAfterPowerLoss(const File& file, Survival survival, Random& random) {
   std::string content = file.durable;
-  const std::size_t whole = survival == Survival::kTornPrefix ? random.Below(file.unsynced.size() + 1)
-                            : survival == Survival::kNothing  ? 0
-                                                              : file.unsynced.size();
-  for (std::size_t i = 0; i < whole; ++i) {
+  const std::size_t complete_writes = survival == Survival::kTornPrefix
+                                          ? random.Below(file.unsynced.size() + 1)
+                                      : survival == Survival::kNothing ? 0
+                                                                       : file.unsynced.size();
+  for (std::size_t i = 0; i < complete_writes; ++i) {
     const Write& write = file.unsynced[i];
     if (survival != Survival::kSectorSubset) {
       Apply(content, write);
@@ -319,8 +322,8 @@
       if (random.Below(2) == 0)
         Apply(content, {false, write.offset + begin, write.bytes.substr(begin, kSectorBytes)});
   }
-  if (survival == Survival::kTornPrefix && whole < file.unsynced.size()) {
-    Write torn = file.unsynced[whole];
+  if (survival == Survival::kTornPrefix && complete_writes < file.unsynced.size()) {
+    Write torn = file.unsynced[complete_writes];
     torn.bytes.resize(random.Below(torn.bytes.size() + 1));
     if (!torn.truncates) Apply(content, torn);
   }
@@ -333,12 +336,12 @@
     return durable || survival == Survival::kEverything ||
            (survival != Survival::kNothing && random.Below(2) == 0);
   };
-  // A deletion that was not synced may be undone.
+  // An unsynced deletion may be undone.
   for (const auto& [name, file] : deleted_)
     if (survival != Survival::kEverything && (survival == Survival::kNothing || random.Below(2) == 0))
-      image[name] = Survivors(*file, survival, random);
+      image[name] = ContentAfterPowerLoss(*file, survival, random);
   for (const auto& [name, file] : files_)
-    if (survives(file->entry_durable)) image[name] = Survivors(*file, survival, random);
+    if (survives(file->entry_durable)) image[name] = ContentAfterPowerLoss(*file, survival, random);
   return image;
 }
 
@@ -354,7 +357,7 @@
     files_[name] = std::move(file);
   }
   power_is_off_ = false;
-  power_ends_at = operation_fails_at = reads_fail_from = 0;
+  power_lost_at = failing_operation = first_failing_read = 0;
   operations_ = reads_ = 0;
   capacity_bytes.reset();
   ignores_syncs = false;
--- a/tests/testing/store_workload.hpp
+++ b/tests/testing/store_workload.hpp
@@ -1,5 +1,5 @@
-// What control processes write to their disks, recorded from a simulated group, as material for tests of the
-// store.
+// Writes of control processes to their disks, recorded from a simulated consensus group, as input of store
+// tests.
 #ifndef VIOLETWING_TESTS_TESTING_STORE_WORKLOAD_HPP_
 #define VIOLETWING_TESTS_TESTING_STORE_WORKLOAD_HPP_
 
@@ -13,27 +13,27 @@
 
 namespace violetwing::testing {
 
-/// What a store holds, by shard.
+/// Contents of a store, by shard.
 using StoredShards = std::map<int, consensus::StoredState>;
-/// What is committed with one sync.
+/// The writes of one transaction.
 using Commit = std::vector<ShardWrite>;
 
-/// How many writes there are of each kind that a replica makes.
+/// Number of writes of each kind.
 struct WriteKinds {
   int hard_states = 0;
   int appends = 0;
-  int truncations = 0;  ///< that overwrite stored entries
+  int truncations = 0;  ///< writes that overwrite stored entries
   int membership_changes = 0;
-  int snapshots = 0;            ///< of its own state
+  int snapshots = 0;            ///< taken of the replica's own state
   int installed_snapshots = 0;  ///< received from a leader
 };
 
-/// The commits of one process with two shards.
+/// The commits of a process with two shards.
 class StoreWorkload {
  public:
-  /// A life of a group of three with a spare: elections, changes, overwritten entries, snapshots, and a lost
-  /// disk whose machine is brought up to date by a snapshot and becomes a member again. Shard 0 has the
-  /// writes of a machine that leads at first, shard 1 those of the machine with the lost disk.
+  /// Simulates a group of three replicas and a spare: elections, commands, overwritten entries, snapshots,
+  /// and a lost disk, whose machine catches up with a snapshot and becomes a member again. Shard 0 has the
+  /// writes of the machine that is the first leader, shard 1 those of the machine with the lost disk.
   static StoreWorkload Record() {
     constexpr Micros kSecond = 1'000'000;
     constexpr std::uint64_t kSeed = 11;
@@ -42,12 +42,12 @@
     const auto run_until_leader = [&] {
       for (int i = 0; i < 100 && !cluster.Leader(); ++i) cluster.Run(kSecond / 10);
     };
-    struct Recorded {
+    struct RecordedCommit {
       std::size_t machine = 0;
       std::string disk;
       Commit writes;
     };
-    std::vector<Recorded> recorded;
+    std::vector<RecordedCommit> recorded;
     cluster.on_commit = [&](std::size_t machine, const Commit& writes) {
       recorded.push_back({machine, cluster.machine(machine).disk_id, writes});
     };
@@ -60,7 +60,7 @@
       cluster.Run(kSecond / 10);
     };
     while (proposed < kCommands) propose(leader);
-    // Entries that no other machine has are overwritten when it is back.
+    // The partitioned leader appends an entry of its own, which is overwritten after the partition heals.
     for (std::size_t i = 0; i < cluster.size(); ++i) cluster.Cut(leader, i);
     propose(leader);
     cluster.Run(2 * kSecond);
@@ -68,7 +68,7 @@
     propose(cluster.Leader().value());
     cluster.Heal();
     cluster.Run(kSecond);
-    // A leader that has just started has no entries in memory from before its snapshot.
+    // A restarted leader has no entries in memory from before its snapshot, so it sends the snapshot itself.
     for (std::size_t i = 0; i < cluster.size(); ++i) {
       cluster.Kill(i);
       cluster.Start(i);
@@ -82,20 +82,20 @@
       propose(cluster.Leader().value());
     }
     StoreWorkload workload;
-    for (const Recorded& one : recorded) {
-      if (one.machine == leader) workload.Add(0, one.writes);
-      if (one.disk == cluster.machine(replaced).disk_id) workload.Add(1, one.writes);
+    for (const RecordedCommit& commit : recorded) {
+      if (commit.machine == leader) workload.Add(0, commit.writes);
+      if (commit.disk == cluster.machine(replaced).disk_id) workload.Add(1, commit.writes);
     }
     return workload;
   }
 
   const std::vector<Commit>& commits() const { return commits_; }
-  /// What the store holds after the first `count` commits, for each count up to their number.
+  /// states()[n] are the contents of the store after the first n commits.
   const std::vector<StoredShards>& states() const { return states_; }
   const WriteKinds& kinds() const { return kinds_; }
 
  private:
-  // Snapshots are large enough for the write-ahead log to be checkpointed several times.
+  // Pads commands so that the snapshots are large enough for several checkpoints of the write-ahead log.
   static std::string Padded(const std::string& command) { return command + std::string(1500, '.'); }
 
   void Add(int shard, Commit writes) {
