--- a/src/common/log.cpp
+++ b/src/common/log.cpp
@@ -10,9 +10,10 @@
   logger_->set_level(spdlog::level::off);
 }
 
-Log::Log(const std::string& file, Old old)
-    : logger_(std::make_shared<spdlog::logger>("lab", std::make_shared<spdlog::sinks::basic_file_sink_st>(
-                                                          file, /*truncate=*/old == Old::kReplaced))) {
+Log::Log(const std::string& file, ExistingFile existing)
+    : logger_(std::make_shared<spdlog::logger>("lab",
+                                               std::make_shared<spdlog::sinks::basic_file_sink_st>(
+                                                   file, /*truncate=*/existing == ExistingFile::kTruncate))) {
   logger_->set_pattern("%v");
   logger_->flush_on(spdlog::level::info);  // events are few, and the program may be killed
 }
--- a/src/common/log.hpp
+++ b/src/common/log.hpp
@@ -16,10 +16,10 @@
  public:
   /// Discards all events.
   Log();
-  /// What becomes of a file that is there already.
-  enum class Old { kReplaced, kKept };
+  /// How a file that exists already is opened.
+  enum class ExistingFile { kTruncate, kAppend };
   /// Throws spdlog::spdlog_ex if the file cannot be opened.
-  Log(const std::string& file, Old old);
+  Log(const std::string& file, ExistingFile existing);
 
   /// Writes an event of this level. `at_us`: microseconds by the program's own clock; `fields`: a JSON
   /// object.
--- a/src/dataplane/control_client/control_link.hpp
+++ b/src/dataplane/control_client/control_link.hpp
@@ -47,7 +47,7 @@
 
   /// Whether a control process that is in contact with a quorum has answered so lately that this sidecar may
   /// refuse what its configuration does not allow.
-  bool IsInTouch(Micros now) const { return now - last_answer_at_ < kInTouchFor; }
+  bool HasRecentQuorumAnswer(Micros now) const { return now - last_answer_at_ < kRecentAnswerWindow; }
 
   /// Whether a key that the configuration holds may still be used: where revoked keys must stop in time on
   /// every machine, one that is out of touch may miss a revocation.
@@ -67,7 +67,7 @@
  private:
   // Longer than two watches that wait for an update. With the age that the answer of a control process may
   // have, still shorter than a configuration may take to be in force.
-  static constexpr Micros kInTouchFor = 1'500'000;
+  static constexpr Micros kRecentAnswerWindow = 1'500'000;
   // Longer ago than any time-out, on a machine that has just started too.
   static constexpr Micros kNever = std::numeric_limits<Micros>::min() / 2;
 
--- a/src/dataplane/directory/directory.cpp
+++ b/src/dataplane/directory/directory.cpp
@@ -25,25 +25,26 @@
 
 Directory::Directory(std::shared_ptr<const configuration::Configuration> configuration,
                      std::shared_ptr<const RouteTable> routes, std::shared_ptr<const ApiKeyIndex> api_keys,
-                     const std::map<std::string, Instance>& instances, int number, int sidecars)
+                     const std::map<std::string, Instance>& instances, int sidecar_index, int sidecar_count)
     : configuration_(std::move(configuration)),
       routes_(std::move(routes)),
       api_keys_(std::move(api_keys)),
       instances_(instances),
-      number_(number),
-      sidecars_(std::max(sidecars, 1)) {
+      sidecar_index_(sidecar_index),
+      sidecar_count_(std::max(sidecar_count, 1)) {
   for (const auto& [id, instance] : instances_)
     if (instance.phase == Phase::kReady) servers_[instance.backend].push_back(&instance);
 }
 
 Directory::Directory(const std::shared_ptr<const configuration::Configuration>& configuration,
-                     const std::map<std::string, Instance>& instances, int number, int sidecars)
+                     const std::map<std::string, Instance>& instances, int sidecar_index, int sidecar_count)
     : Directory(configuration, MakeIndex<RouteTable>(configuration.get()),
-                MakeIndex<ApiKeyIndex>(configuration.get()), instances, number, sidecars) {}
+                MakeIndex<ApiKeyIndex>(configuration.get()), instances, sidecar_index, sidecar_count) {}
 
-Directory::Directory(const Directory& previous, const std::map<std::string, Instance>& instances, int number,
-                     int sidecars)
-    : Directory(previous.configuration_, previous.routes_, previous.api_keys_, instances, number, sidecars) {}
+Directory::Directory(const Directory& previous, const std::map<std::string, Instance>& instances,
+                     int sidecar_index, int sidecar_count)
+    : Directory(previous.configuration_, previous.routes_, previous.api_keys_, instances, sidecar_index,
+                sidecar_count) {}
 
 const configuration::Limits& Directory::limits() const {
   static const configuration::Limits kDefaults;
--- a/src/dataplane/directory/directory.hpp
+++ b/src/dataplane/directory/directory.hpp
@@ -1,4 +1,4 @@
-// A sidecar's snapshot of the system: configuration, servers, and its own number among the sidecars. A core:
+// A sidecar's snapshot of the system: configuration, servers, and its own index among the sidecars. A core:
 // it holds no clock, socket, file or thread.
 #ifndef VIOLETWING_DATAPLANE_DIRECTORY_DIRECTORY_HPP_
 #define VIOLETWING_DATAPLANE_DIRECTORY_DIRECTORY_HPP_
@@ -22,12 +22,12 @@
  public:
   /// Without configuration and servers, as after the start.
   Directory() = default;
-  /// `configuration` may be null. `number`: of this sidecar, from 0; `sidecars`: how many there are.
+  /// `configuration` may be null. `sidecar_index`: position of this sidecar, from 0, among `sidecar_count`.
   Directory(const std::shared_ptr<const configuration::Configuration>& configuration,
-            const std::map<std::string, Instance>& instances, int number, int sidecars);
+            const std::map<std::string, Instance>& instances, int sidecar_index, int sidecar_count);
   /// The configuration and routes of `previous`, which are shared with it, with other servers.
-  Directory(const Directory& previous, const std::map<std::string, Instance>& instances, int number,
-            int sidecars);
+  Directory(const Directory& previous, const std::map<std::string, Instance>& instances, int sidecar_index,
+            int sidecar_count);
 
   /// False until the control plane has sent one.
   bool HasConfiguration() const { return configuration_ != nullptr; }
@@ -51,22 +51,22 @@
   const Instance* Find(const std::string& id) const;
 
   /// Number of this sidecar, from 0.
-  int number() const { return number_; }
+  int sidecar_index() const { return sidecar_index_; }
   /// At least 1.
-  int sidecars() const { return sidecars_; }
+  int sidecar_count() const { return sidecar_count_; }
 
  private:
   Directory(std::shared_ptr<const configuration::Configuration> configuration,
             std::shared_ptr<const RouteTable> routes, std::shared_ptr<const ApiKeyIndex> api_keys,
-            const std::map<std::string, Instance>& instances, int number, int sidecars);
+            const std::map<std::string, Instance>& instances, int sidecar_index, int sidecar_count);
 
   std::shared_ptr<const configuration::Configuration> configuration_;
   std::shared_ptr<const RouteTable> routes_ = std::make_shared<const RouteTable>();
   std::shared_ptr<const ApiKeyIndex> api_keys_ = std::make_shared<const ApiKeyIndex>();
   std::map<std::string, Instance> instances_;
   std::map<std::string, std::vector<const Instance*>> servers_;  // by backend
-  int number_ = 0;
-  int sidecars_ = 1;
+  int sidecar_index_ = 0;
+  int sidecar_count_ = 1;
 };
 
 using DirectoryPtr = std::shared_ptr<const Directory>;
--- a/src/dataplane/edge_service.cpp
+++ b/src/dataplane/edge_service.cpp
@@ -74,7 +74,7 @@
   load_reports_.SetNeighbors(link_.neighbors());
   const double reporting_sidecars = static_cast<double>(std::max<std::size_t>(link_.neighbors().size(), 1));
   plane_.load_balancer.SetSidecarsPerReport(
-      std::max(1.0, (plane_.directory->sidecars() - 1) / reporting_sidecars));
+      std::max(1.0, (plane_.directory->sidecar_count() - 1) / reporting_sidecars));
   const auto waiting = plane_.waiting_for_model;
   for (const auto& request : waiting) request->OnDirectory();
 }
--- a/src/dataplane/http/http_text.cpp
+++ b/src/dataplane/http/http_text.cpp
@@ -14,17 +14,17 @@
 
 }  // namespace
 
-bool SameName(std::string_view a, std::string_view b) {
+bool FieldNamesEqual(std::string_view a, std::string_view b) {
   return boost::beast::iequals({a.data(), a.size()}, {b.data(), b.size()});
 }
 
 const std::string* FindField(const FieldList& fields, std::string_view name) {
   for (const Field& field : fields)
-    if (SameName(field.name, name)) return &field.value;
+    if (FieldNamesEqual(field.name, name)) return &field.value;
   return nullptr;
 }
 
-FieldList EndToEnd(const boost::beast::http::fields& fields) {
+FieldList EndToEndFields(const boost::beast::http::fields& fields) {
   std::vector<std::string> named;
   const auto [begin, end] = fields.equal_range(boost::beast::http::field::connection);
   for (auto it = begin; it != end; ++it)
@@ -32,7 +32,7 @@
   FieldList out;
   for (const auto& field : fields) {
     const std::string_view name(field.name_string().data(), field.name_string().size());
-    const auto same = [&](std::string_view other) { return SameName(name, other); };
+    const auto same = [&](std::string_view other) { return FieldNamesEqual(name, other); };
     if (std::any_of(std::begin(kOfConnection), std::end(kOfConnection), same)) continue;
     if (std::any_of(named.begin(), named.end(), same)) continue;
     out.push_back({std::string(name), std::string(field.value().data(), field.value().size())});
--- a/src/dataplane/http/http_text.hpp
+++ b/src/dataplane/http/http_text.hpp
@@ -19,12 +19,12 @@
 using FieldList = std::vector<Field>;
 
 /// Compares field names, without regard to case.
-bool SameName(std::string_view a, std::string_view b);
+bool FieldNamesEqual(std::string_view a, std::string_view b);
 /// Value of the first field of that name; null if there is none.
 const std::string* FindField(const FieldList& fields, std::string_view name);
 /// The end-to-end fields of a message: without hop-by-hop fields and those named in Connection (RFC 9110,
 /// section 7.6.1), and without Content-Length, which is written anew.
-FieldList EndToEnd(const boost::beast::http::fields& fields);
+FieldList EndToEndFields(const boost::beast::http::fields& fields);
 /// Parses a decimal number, as "300" or "0.25"; `otherwise` if `text` is null or anything else.
 double ParseNumber(const std::string* text, double otherwise);
 
--- a/src/dataplane/ingress/client_connection.cpp
+++ b/src/dataplane/ingress/client_connection.cpp
@@ -74,7 +74,7 @@
 
 void ClientConnection::ReadBody() {
   phase_ = Phase::kBody;
-  fields_ = EndToEnd(parser_->get());
+  fields_ = EndToEndFields(parser_->get());
   ArmTimeout(kBodyTimeout);
   if (beast::iequals(parser_->get()[http::field::expect], "100-continue")) {
     pending_output_ += "HTTP/1.1 100 Continue\r\n\r\n";
@@ -167,7 +167,7 @@
 void ClientConnection::Finish() {
   if (closed_ || std::exchange(finished_, true)) return;
   if (chunked_) pending_output_ += "0\r\n\r\n";
-  on_gone = nullptr;
+  on_disconnect = nullptr;
   on_drained = nullptr;
   Write();
 }
@@ -180,7 +180,7 @@
 }
 
 void ClientConnection::Abort() {
-  on_gone = nullptr;
+  on_disconnect = nullptr;
   Close();
 }
 
@@ -218,7 +218,7 @@
 
 void ClientConnection::Close() {
   if (std::exchange(closed_, true)) return;
-  const auto gone = std::exchange(on_gone, nullptr);
+  const auto gone = std::exchange(on_disconnect, nullptr);
   on_drained = nullptr;
   if (phase_ != Phase::kIdle) --ingress_.busy_;
   timeout_timer_.cancel();
--- a/src/dataplane/ingress/client_connection.hpp
+++ b/src/dataplane/ingress/client_connection.hpp
@@ -60,12 +60,12 @@
   /// True once SendHead was called for the current request.
   bool head_sent() const { return head_sent_; }
 
-  std::function<void()> on_gone;     ///< the client disconnected before the response was complete
-  std::function<void()> on_drained;  ///< all bytes so far are written to the socket
+  std::function<void()> on_disconnect;  ///< the client disconnected before the response was complete
+  std::function<void()> on_drained;     ///< all bytes so far are written to the socket
 
   /// Closes it if no request is being read or answered.
   void CloseIfIdle();
-  /// Closes it; calls `on_gone` if the response is not complete.
+  /// Closes it; calls `on_disconnect` if the response is not complete.
   void Close();
 
  private:
--- a/src/dataplane/load_balancing/load_balancer.cpp
+++ b/src/dataplane/load_balancing/load_balancer.cpp
@@ -27,7 +27,8 @@
 // Returns the candidates, rotated so that this sidecar's window comes first.
 std::vector<const Instance*> RotateToWindow(const std::vector<const Instance*>& candidates,
                                             const Directory& directory) {
-  const std::size_t offset = WindowOffset(directory.number(), directory.sidecars(), candidates.size());
+  const std::size_t offset =
+      WindowOffset(directory.sidecar_index(), directory.sidecar_count(), candidates.size());
   std::vector<const Instance*> ring(candidates);
   std::rotate(ring.begin(), ring.begin() + static_cast<std::ptrdiff_t>(offset), ring.end());
   return ring;
--- a/src/dataplane/routing/authentication.cpp
+++ b/src/dataplane/routing/authentication.cpp
@@ -12,7 +12,7 @@
 const std::string* FindUnique(const FieldList& fields, std::string_view name) {
   const std::string* found = nullptr;
   for (const Field& field : fields) {
-    if (!SameName(field.name, name)) continue;
+    if (!FieldNamesEqual(field.name, name)) continue;
     if (found != nullptr) return nullptr;
     found = &field.value;
   }
@@ -26,7 +26,7 @@
   if (credentials == nullptr) return std::nullopt;
   std::string_view text = *credentials;
   const std::size_t scheme_end = text.find_first_of(kSpaces);
-  if (scheme_end == std::string_view::npos || !SameName(text.substr(0, scheme_end), kScheme))
+  if (scheme_end == std::string_view::npos || !FieldNamesEqual(text.substr(0, scheme_end), kScheme))
     return std::nullopt;
   const std::size_t key_begin = text.find_first_not_of(kSpaces, scheme_end);
   if (key_begin == std::string_view::npos) return std::nullopt;
--- a/src/dataplane/routing/request_router.cpp
+++ b/src/dataplane/routing/request_router.cpp
@@ -64,7 +64,7 @@
 // ---- Route, backend, attributes ----
 
 void RequestRouter::Start() {
-  client_->on_gone = [self = shared_from_this()] { self->OnClientDisconnected(); };
+  client_->on_disconnect = [self = shared_from_this()] { self->OnClientDisconnected(); };
   if (!directory_->HasConfiguration()) return Reject(EndReason::kNoConfiguration, kStartupS);
   if (!FindRoute()) return DenyByConfiguration(kNotFound, EndReason::kNoRoute);
   if (!Authorize()) return;
@@ -98,7 +98,7 @@
 }
 
 void RequestRouter::DenyByConfiguration(const Status& status, EndReason reason) {
-  if (plane_.link != nullptr && !plane_.link->IsInTouch(SteadyMicros()))
+  if (plane_.link != nullptr && !plane_.link->HasRecentQuorumAnswer(SteadyMicros()))
     return Reject(EndReason::kOutOfTouch);
   Fail(status, reason);
 }
@@ -340,7 +340,7 @@
   const Micros backoff = RetryBackoff(attempt_counter_.rejected(), plane_.random);
   if (backoff / 1000 + kMinAttemptMs >= RemainingMs()) return false;
   if (cost == RetryCost::kFromBudget &&
-      !plane_.retry_budget.TrySpend(backend_->name, plane_.directory->sidecars(), SteadyMicros()))
+      !plane_.retry_budget.TrySpend(backend_->name, plane_.directory->sidecar_count(), SteadyMicros()))
     return false;
   backoff_timer_.expires_after(microseconds(backoff));
   backoff_timer_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
@@ -404,7 +404,7 @@
   deadline_timer_.cancel();
   backoff_timer_.cancel();
   plane_.waiting_for_model.erase(shared_from_this());
-  client_->on_gone = nullptr;
+  client_->on_disconnect = nullptr;
   client_->on_drained = nullptr;
 }
 
--- a/src/dataplane/routing/upstream_request.cpp
+++ b/src/dataplane/routing/upstream_request.cpp
@@ -14,8 +14,9 @@
 // Whether a field of the client is not forwarded: the sidecar sets its own value or, for Expect, has already
 // answered the client.
 bool IsStripped(const Field& header) {
-  return SameName(header.name, field::kDeadline) || SameName(header.name, field::kExpectedInstance) ||
-         SameName(header.name, field::kTenant) || SameName(header.name, "Expect");
+  return FieldNamesEqual(header.name, field::kDeadline) ||
+         FieldNamesEqual(header.name, field::kExpectedInstance) ||
+         FieldNamesEqual(header.name, field::kTenant) || FieldNamesEqual(header.name, "Expect");
 }
 
 }  // namespace
@@ -27,7 +28,7 @@
   text += request.method + " " + request.target + " HTTP/1.1\r\n";
   for (const Field& header : request.fields) {
     const bool strip_authorization =
-        identity.strip_credentials && SameName(header.name, field::kAuthorization);
+        identity.strip_credentials && FieldNamesEqual(header.name, field::kAuthorization);
     if (!strip_authorization && !IsStripped(header)) AppendField(text, header.name, header.value);
   }
   if (!identity.tenant.empty()) AppendField(text, field::kTenant, identity.tenant);
--- a/src/dataplane/upstream/upstream_exchange.cpp
+++ b/src/dataplane/upstream/upstream_exchange.cpp
@@ -113,7 +113,7 @@
   head_.status = static_cast<int>(message.result_int());
   if (head_.status / 100 == 1) return ReadHead();  // interim response
   head_.reason = std::string(message.reason());
-  head_.fields = EndToEnd(message);
+  head_.fields = EndToEndFields(message);
   const std::string* id = FindField(head_.fields, field::kRequestId);
   // The response belongs to another request, as a server may send a second one late.
   if (id != nullptr && *id != request_.request_id) return Finish(ExchangeEnd::kReset);
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -88,8 +88,9 @@
         plan_(plan),
         options_(options),
         directory_(options.keep),
-        journal_(clock_,
-                 options.keep.empty() ? Log() : Log(directory_.path() + "/lab.jsonl", Log::Old::kReplaced)),
+        journal_(clock_, options.keep.empty()
+                             ? Log()
+                             : Log(directory_.path() + "/lab.jsonl", Log::ExistingFile::kTruncate)),
         links_(io_, clock_, scenario, plan, options.scripted),
         servers_({Given(), links_.send_times()}, journal_,
                  [this](int server, Door::State state) { links_.FollowFar(server, state); }),
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -288,7 +288,7 @@
     : io_(io),
       config_(std::move(config)),
       store_(config_.store, config_.epoch),
-      log_(config_.log.empty() ? Log() : Log(config_.log, Log::Old::kKept)),
+      log_(config_.log.empty() ? Log() : Log(config_.log, Log::ExistingFile::kAppend)),
       core_(config_.limits, store_.Load(), Now()),
       role_(MakeRole()),
       peers_(MakePeers()),
--- a/tests/control/system_test.cpp
+++ b/tests/control/system_test.cpp
@@ -484,7 +484,7 @@
   CHECK(with_lists >= pairs * kSeconds * 4);
   CHECK(replies > with_lists + pairs * kSeconds);
   for (std::size_t i = 0; i < system.sidecars(); ++i)
-    CHECK(system.sidecar(i).view->MakeDirectory()->sidecars() == 2);
+    CHECK(system.sidecar(i).view->MakeDirectory()->sidecar_count() == 2);
 }
 
 TEST_CASE("System: a server deregistered by the log stays so when a peer reports it as ready") {
--- a/tests/dataplane/control_client/control_link_test.cpp
+++ b/tests/dataplane/control_client/control_link_test.cpp
@@ -68,7 +68,9 @@
   }
   std::int64_t version() const { return version_; }
   int went_back() const { return went_back_; }
-  bool IsInTouch(Micros later = 0) const { return link_.IsInTouch(SteadyMicros() + later); }
+  bool HasRecentQuorumAnswer(Micros later = 0) const {
+    return link_.HasRecentQuorumAnswer(SteadyMicros() + later);
+  }
   bool MayTrustKeys(Micros later = 0) const { return link_.MayTrustKeys(SteadyMicros() + later); }
   bool Serves() const { return directory_ != nullptr && directory_->Servers("s").size() == 1; }
 
@@ -173,13 +175,13 @@
 TEST_CASE(
     "DENIED: a link is in touch from the first answer of a control process on, for 1.5 s without another") {
   Link refused;
-  CHECK_FALSE(refused.IsInTouch());
+  CHECK_FALSE(refused.HasRecentQuorumAnswer());
   refused.Play({OutOfTouch()});
-  CHECK_FALSE(refused.IsInTouch());
+  CHECK_FALSE(refused.HasRecentQuorumAnswer());
   Link link;
   link.Play({Ok(Good(5, Server(Phase::kReady, 1, 1)))});
-  CHECK(link.IsInTouch());
-  CHECK_FALSE(link.IsInTouch(1'500'000));
+  CHECK(link.HasRecentQuorumAnswer());
+  CHECK_FALSE(link.HasRecentQuorumAnswer(1'500'000));
 }
 
 TEST_CASE(
@@ -188,7 +190,7 @@
   deferred.configuration_document.clear();
   Link link;
   link.Play({Ok(deferred)});
-  CHECK_FALSE(link.IsInTouch());
+  CHECK_FALSE(link.HasRecentQuorumAnswer());
 }
 
 TEST_CASE("CONFIG: keys that may be revoked are trusted for less than their bound after an answer") {
--- a/tests/dataplane/directory/directory_test.cpp
+++ b/tests/dataplane/directory/directory_test.cpp
@@ -24,7 +24,7 @@
   CHECK(after.routes().Match("a.example", "/x") == route);
   CHECK(after.version() == 1);
   CHECK(after.Servers("s").size() == 1);
-  CHECK(after.number() == 1);
+  CHECK(after.sidecar_index() == 1);
 }
 
 TEST_CASE("Servers are found by the model, and by the adapter, that they have loaded") {
