--- a/src/common/failure.hpp
+++ b/src/common/failure.hpp
@@ -1,4 +1,5 @@
-// The result type of operations whose errors an operator reads: a code for the program, a line for the log.
+// The result type of operations whose errors are shown to an operator: an error code for the program, and a
+// message for the log.
 #ifndef VIOLETWING_COMMON_FAILURE_HPP_
 #define VIOLETWING_COMMON_FAILURE_HPP_
 
@@ -9,14 +10,14 @@
 
 namespace violetwing {
 
-/// What has failed.
+/// Describes a failed operation.
 struct Failure {
   std::error_code code;
-  std::string message;  ///< one line: what could not be done, with which file or address, and the reason
+  std::string message;  ///< one line: the failed operation, its file or address, and the reason
 };
 
-/// Either a value or a Failure. `Fallible<void>` carries no value; make one by Success().
-/// value() and error() must only be called where has_value() or has_error() holds.
+/// Either a value or a Failure. `Fallible<void>` carries no value; create one with Success().
+/// value() requires has_value(), and error() requires has_error().
 template <class T>
 using Fallible = boost::outcome_v2::basic_result<T, Failure, boost::outcome_v2::policy::all_narrow>;
 
--- a/src/common/http_client.cpp
+++ b/src/common/http_client.cpp
@@ -13,12 +13,12 @@
 std::optional<asio::ip::tcp::endpoint> ParseEndpoint(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos) return std::nullopt;
-  boost::system::error_code bad;
-  const auto host = asio::ip::make_address_v4(text.substr(0, colon), bad);
+  boost::system::error_code address_error;
+  const auto host = asio::ip::make_address_v4(text.substr(0, colon), address_error);
   unsigned short port = 0;
   const char* const last = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data() + colon + 1, last, port);
-  if (bad || error != std::errc() || end != last || port == 0) return std::nullopt;
+  if (address_error || error != std::errc() || end != last || port == 0) return std::nullopt;
   return asio::ip::tcp::endpoint(host, port);
 }
 
@@ -64,8 +64,8 @@
 }
 
 void HttpExchange::ReadHeader() {
-  // Lines are bounded, not their number. "No limit" would refuse every length that a header tells
-  // (Beast 1.74).
+  // The length of a line is limited, that of the body is not. Disabling the limit with boost::none would make
+  // Beast 1.74 reject every Content-Length.
   parser_.body_limit(std::numeric_limits<std::uint64_t>::max());
   http::async_read_header(stream_, buffer_, parser_,
                           [self = shared_from_this()](ErrorCode error, std::size_t) {
@@ -101,7 +101,7 @@
     if (finished_) return;
   }
   line_.erase(0, begin);
-  if (line_.size() > call_.max_line_bytes) return Finish("a line without end");
+  if (line_.size() > call_.max_line_bytes) return Finish("response line exceeds the size limit");
   ReadBody();
 }
 
--- a/src/common/http_client.hpp
+++ b/src/common/http_client.hpp
@@ -1,5 +1,5 @@
-// Asynchronous HTTP/1.1 calls between the project's own programs: one call a connection, the body of the
-// answer delivered line by line.
+// Asynchronous HTTP/1.1 client for calls between the project's own programs: one call per connection, with
+// the response body delivered line by line.
 #ifndef VIOLETWING_COMMON_HTTP_CLIENT_HPP_
 #define VIOLETWING_COMMON_HTTP_CLIENT_HPP_
 
@@ -17,37 +17,37 @@
 
 namespace violetwing {
 
-/// Parses an IPv4 address with a port, "127.0.0.1:80". Empty if the text is anything else, or the port is 0.
+/// Parses an IPv4 address with a port, such as "127.0.0.1:80". Empty for any other text, and for port 0.
 std::optional<boost::asio::ip::tcp::endpoint> ParseEndpoint(const std::string& text);
-/// The reverse of ParseEndpoint.
+/// Formats an endpoint as ParseEndpoint reads it.
 std::string ToText(const boost::asio::ip::tcp::endpoint& endpoint);
 
-/// One call and its answer. Lives as long as its operations are pending; all callbacks come from the loop of
-/// the io_context that it was started with.
+/// One call and its response. Keeps itself alive while operations are pending. All callbacks run on the
+/// io_context that it was started with.
 class HttpExchange : public std::enable_shared_from_this<HttpExchange> {
  public:
   using Endpoint = boost::asio::ip::tcp::endpoint;
-  /// What is called.
+  /// The request to send, and limits on the response.
   struct Call {
     Endpoint to;
     std::string method = "GET";
     std::string target;
     std::string body;
-    std::chrono::microseconds idle_timeout{1'000'000};  // without progress for so long, the call fails
+    std::chrono::microseconds idle_timeout{1'000'000};  // the call fails after this time without progress
     std::size_t max_line_bytes = std::size_t{64} * 1024 * 1024;
   };
-  /// Where the answer goes.
+  /// Callbacks for the response.
   struct Events {
-    /// Each line of the body that is not blank, whatever the status.
+    /// Called with each line of the body that is not blank, for any status.
     std::function<void(const std::string& line)> on_line;
-    /// Once, unless Stop comes first. `status` is 0 if no head came; `error` is empty if the answer is
-    /// complete.
+    /// Called once, unless Stop is called first. `status` is 0 if no response header arrived. `error` is
+    /// empty if the response is complete.
     std::function<void(int status, const std::string& error)> on_end;
   };
 
-  /// Begins to connect; `events` are called from `io`.
+  /// Starts a call on `io`.
   static std::shared_ptr<HttpExchange> Start(boost::asio::io_context& io, Call call, Events events);
-  /// Closes the connection; no callback comes from now on.
+  /// Closes the connection. No callback is called after this.
   void Stop();
 
  private:
--- a/src/common/log.cpp
+++ b/src/common/log.cpp
@@ -15,7 +15,8 @@
                                                std::make_shared<spdlog::sinks::basic_file_sink_st>(
                                                    file, /*truncate=*/existing == ExistingFile::kTruncate))) {
   logger_->set_pattern("%v");
-  logger_->flush_on(spdlog::level::info);  // events are few, and the program may be killed
+  // Flushes each event, as the program may be killed; events are rare enough for that.
+  logger_->flush_on(spdlog::level::info);
 }
 
 std::string Log::Line(const char* level, std::int64_t at_us, const char* part, const char* event,
@@ -23,7 +24,8 @@
   nlohmann::ordered_json line = {
       {"time", static_cast<double>(at_us) / 1e6}, {"level", level}, {"part", part}, {"event", event}};
   for (const auto& [key, value] : fields.items()) line[key] = value;
-  // A process may write what is no UTF-8; its line is kept all the same.
+  // Output of another process may not be valid UTF-8: invalid bytes are replaced rather than the line
+  // dropped.
   return line.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
 }
 
--- a/src/common/log.hpp
+++ b/src/common/log.hpp
@@ -1,4 +1,4 @@
-// Structured logs of the lab and the registry: JSON lines with time, level, part, event and fields.
+// Structured logging of the lab and the registry: JSON lines with time, level, part, event and fields.
 #ifndef VIOLETWING_COMMON_LOG_HPP_
 #define VIOLETWING_COMMON_LOG_HPP_
 
@@ -11,28 +11,28 @@
 
 namespace violetwing {
 
-/// Writes events to a file, one JSON object a line. Not thread safe.
+/// Writes events to a file, one JSON object per line. Not thread-safe.
 class Log {
  public:
   /// Discards all events.
   Log();
-  /// How a file that exists already is opened.
+  /// What to do with a log file that already exists.
   enum class ExistingFile { kTruncate, kAppend };
-  /// Throws spdlog::spdlog_ex if the file cannot be opened.
+  /// Logs to `file`. Throws spdlog::spdlog_ex if it cannot be opened.
   Log(const std::string& file, ExistingFile existing);
 
-  /// Writes an event of this level. `at_us`: microseconds by the program's own clock; `fields`: a JSON
-  /// object.
+  /// Logs an event at level info. `at_us`: time in microseconds on the program's own clock. `part`: the
+  /// component that logs. `fields`: a JSON object.
   void Info(std::int64_t at_us, const char* part, const char* event, const nlohmann::json& fields = {}) {
     Write(spdlog::level::info, at_us, part, event, fields);
   }
 
-  /// As Info, for what an operator should look at.
+  /// Logs an event that needs an operator's attention, at level warning.
   void Warn(std::int64_t at_us, const char* part, const char* event, const nlohmann::json& fields = {}) {
     Write(spdlog::level::warn, at_us, part, event, fields);
   }
 
-  /// A line as Info and Warn write it, without its end, for callers that write many at once.
+  /// Formats a line as Info and Warn write it, without the newline, for callers that write lines in batches.
   static std::string Line(const char* level, std::int64_t at_us, const char* part, const char* event,
                           const nlohmann::json& fields);
 
--- a/src/common/node_settings.cpp
+++ b/src/common/node_settings.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// Reads fields and collects what is wrong with them.
+// Reads the fields of a JSON object and collects errors as findings.
 class Fields {
  public:
   Fields(json object, std::string path, SettingsError& error)
@@ -43,12 +43,12 @@
   SettingsError& error_;
 };
 
-json Member(const json& in, const char* name) {
+json ObjectMember(const json& in, const char* name) {
   const auto it = in.find(name);
   return it != in.end() && it->is_object() ? *it : json::object();
 }
 
-// A time that the file gives in seconds; `out_ms` is in milliseconds and stays as it is without one.
+// Reads a time in seconds into `out_ms`, in milliseconds. Keeps the default if the field is missing.
 void ReadSeconds(const Fields& fields, const char* name, std::int64_t& out_ms) {
   double seconds = static_cast<double>(out_ms) / 1000;
   fields.ReadPositive(name, seconds);
@@ -71,10 +71,10 @@
 
 void ReadPlatform(const json& in, NodeSettings& out, SettingsError& error) {
   const Fields fields(in, "cloud_api.", error);
-  std::vector<std::string> duties;
+  std::vector<std::string> leases;
   fields.Read("address", out.platform_address);
-  fields.Read("leases", duties);
-  out.reports_usage = std::find(duties.begin(), duties.end(), "metering") != duties.end();
+  fields.Read("leases", leases);
+  out.reports_usage = std::find(leases.begin(), leases.end(), "metering") != leases.end();
 }
 
 void ReadNode(const json& in, NodeSettings& out, SettingsError& error) {
@@ -106,7 +106,7 @@
   if (ports.size() == 2 && ports[0] > 0 && ports[0] <= ports[1] && ports[1] <= kMaxPort)
     out.internal_port = ports[0];
   else
-    fields.Report("ephemeral_ports", "must be the first and the last of some ports");
+    fields.Report("ephemeral_ports", "must be [first, last], two ports from 1 to 65535 in ascending order");
 }
 
 }  // namespace
@@ -131,12 +131,12 @@
   NodeSettings out;
   SettingsError error;
   ReadNode(in, out, error);
-  ReadListeners(Member(in, "listeners_addr"), out, error);
+  ReadListeners(ObjectMember(in, "listeners_addr"), out, error);
   ReadPorts(in, out, error);
-  const Fields tolerance(Member(in, "fault_tolerance"), "fault_tolerance.", error);
+  const Fields tolerance(ObjectMember(in, "fault_tolerance"), "fault_tolerance.", error);
   tolerance.Read("nodes", out.tolerated_nodes);
-  ReadTimeouts(Member(in, "timeouts"), out, error);
-  ReadPlatform(Member(in, "cloud_api"), out, error);
+  ReadTimeouts(ObjectMember(in, "timeouts"), out, error);
+  ReadPlatform(ObjectMember(in, "cloud_api"), out, error);
   if (!error.findings.empty()) return error;
   return out;
 }
--- a/src/common/result.hpp
+++ b/src/common/result.hpp
@@ -7,8 +7,8 @@
 
 namespace violetwing {
 
-/// Either a value or a std::error_code. `Result<void>` carries no value; make one by Ok().
-/// An enumerator that is registered as an error code converts by itself: `return ControlErrc::kX;`.
+/// Either a value or a std::error_code. `Result<void>` carries no value; create one with Ok().
+/// An enumerator that is registered as an error code converts implicitly: `return ControlErrc::kX;`.
 template <class T>
 using Result = boost::outcome_v2::std_result<T>;
 
--- a/src/common/steady_time.hpp
+++ b/src/common/steady_time.hpp
@@ -1,4 +1,4 @@
-// The steady clock of the process, for the code that drives the parts without a clock.
+// Reads the steady clock, for the code that passes the time to components that hold no clock.
 #ifndef VIOLETWING_COMMON_STEADY_TIME_HPP_
 #define VIOLETWING_COMMON_STEADY_TIME_HPP_
 
@@ -8,7 +8,8 @@
 
 namespace violetwing {
 
-/// Microseconds on std::chrono::steady_clock: never goes back, and no change of the time of day moves it.
+/// Microseconds on std::chrono::steady_clock, which is monotonic and unaffected by changes of the system
+/// time.
 inline Micros SteadyMicros() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::steady_clock::now().time_since_epoch())
--- a/src/common/time.hpp
+++ b/src/common/time.hpp
@@ -1,4 +1,4 @@
-// The unit of time of the system's parts that hold no clock: they are given the time with each event.
+// The unit of time of components that hold no clock and receive the current time with each event.
 #ifndef VIOLETWING_COMMON_TIME_HPP_
 #define VIOLETWING_COMMON_TIME_HPP_
 
@@ -6,7 +6,7 @@
 
 namespace violetwing {
 
-/// Microseconds: a span, or a time on the steady clock of the process (steady_time.hpp).
+/// Microseconds: a duration, or a time on the steady clock of the process (steady_time.hpp).
 using Micros = std::int64_t;
 
 }  // namespace violetwing
--- a/src/dataplane/control_client/control_channel.cpp
+++ b/src/dataplane/control_client/control_channel.cpp
@@ -10,7 +10,7 @@
 
 namespace http = boost::beast::http;
 
-// A configuration, and all servers.
+// A watch reply may hold a complete configuration and all servers.
 constexpr std::uint64_t kMaxResponseBytes = std::uint64_t{64} * 1024 * 1024;
 
 }  // namespace
@@ -42,7 +42,8 @@
   idle_connection_.reset();
 }
 
-// The deadline bounds all steps together: a response that trickles in keeps each single one short.
+// Caps each step's timeout by the call's deadline: a response that trickles in would otherwise renew the
+// progress timeout without end.
 void ControlChannel::ArmTimeout(const Call& call) const {
   call.connection->stream.expires_at(
       std::min(call.deadline, std::chrono::steady_clock::now() + progress_timeout_));
--- a/src/dataplane/control_client/control_channel.hpp
+++ b/src/dataplane/control_client/control_channel.hpp
@@ -1,5 +1,5 @@
-// HTTP calls of a sidecar to one control process at a time, over a persistent connection: a new one for each
-// call would cost both sides more than the call itself.
+// HTTP client for calls from a sidecar to one control process at a time, over a persistent connection:
+// opening a connection for each call would cost both sides more than the call itself.
 #ifndef VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_CHANNEL_HPP_
 #define VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_CHANNEL_HPP_
 
@@ -16,19 +16,18 @@
 
 namespace violetwing {
 
-/// Client of the control plane, for idempotent calls. Used on the thread of `io`.
+/// Client of the control plane for idempotent calls. Must be used on the thread of `io` only.
 class ControlChannel {
  public:
   /// Address of a control process.
   using Endpoint = boost::asio::ip::tcp::endpoint;
-  /// Gets the HTTP status and body of the response; `status` is 0 if there was no complete one.
+  /// Receives the HTTP status and body of the response; `status` is 0 if no complete response arrived.
   using Callback = std::function<void(int status, const std::string& body)>;
 
-  /// `progress_timeout`: a call without progress for so long has failed. No call lasts longer than twice
-  /// that.
+  /// A call fails after `progress_timeout` without progress, and after twice that time in any case.
   ControlChannel(boost::asio::io_context& io, std::chrono::milliseconds progress_timeout)
       : io_(io), progress_timeout_(progress_timeout) {}
-  /// Stops it.
+  /// Cancels the call in flight.
   ~ControlChannel() { Stop(); }
   ControlChannel(const ControlChannel&) = delete;
   ControlChannel& operator=(const ControlChannel&) = delete;
@@ -63,7 +62,7 @@
   void Write(const CallPtr& call);
   void Read(const CallPtr& call);
   void ArmTimeout(const Call& call) const;
-  // The call's connection is broken.
+  // Handles a broken connection: retries once on a new connection if a reused one broke before any response.
   void RetryOrFail(const CallPtr& call);
   void Finish(const CallPtr& call, int status, const std::string& body);
 
--- a/src/dataplane/control_client/control_link.cpp
+++ b/src/dataplane/control_client/control_link.cpp
@@ -18,21 +18,21 @@
 
 // How long a watch request waits at the control process for an update.
 constexpr int kLongPollMs = 400;
-// Without a response for so long, the process or the network to it counts as failed.
+// A control process that does not respond within this time counts as failed, or the network to it does.
 constexpr milliseconds kProgressTimeout{kLongPollMs + 300};
 constexpr milliseconds kRetryDelay{100};
-// Immediate demand waits a little, so that one report includes what comes right after it.
-constexpr milliseconds kDemandReportDelay{3};
+// Delay of an urgent demand report, so that it also covers requests that arrive right after the first one.
+constexpr milliseconds kUrgentDemandDelay{3};
 constexpr Micros kMicrosPerMs = 1000;
-// What a control process answers may have been outdated for so long.
-constexpr Micros kMaxAnswerAge = 900'000;
+// A response of a control process may reflect state that is this old.
+constexpr Micros kMaxResponseAge = 900'000;
 
 std::optional<Micros> KeyLifetime(const NodeSettings& settings) {
   if (!settings.revoked_keys) return std::nullopt;
-  return std::max<Micros>(settings.revoke_ms * kMicrosPerMs - kMaxAnswerAge, 0);
+  return std::max<Micros>(settings.revoke_ms * kMicrosPerMs - kMaxResponseAge, 0);
 }
 
-// Unique to this run of the sidecar.
+// A name that is unique to this run of the sidecar: usage counts start at 0 in each run.
 std::string ReporterName(const std::string& node) {
   std::random_device device;
   return node + "/" + std::to_string(device()) + std::to_string(device());
@@ -75,16 +75,16 @@
 void ControlLink::Watch() {
   if (stopped_) return;
   const auto endpoint = ParseEndpoint(selector_.Current(view_.controls()));
-  if (!endpoint) return OnWatched(0, {});
+  if (!endpoint) return OnWatchFinished(0, {});
   WatchRequest request = view_.NextWatchRequest(kLongPollMs, TakeDemand());
   watch_sent_at_ = SteadyMicros();
   usage_in_flight_ = usage_.TakeReport(watch_sent_at_);
   request.usage = usage_in_flight_;
   watch_channel_.Post(*endpoint, kWatchPath, Encode(request),
-                      [this](int status, const std::string& body) { OnWatched(status, body); });
+                      [this](int status, const std::string& body) { OnWatchFinished(status, body); });
 }
 
-void ControlLink::OnWatched(int status, const std::string& body) {
+void ControlLink::OnWatchFinished(int status, const std::string& body) {
   if (stopped_) return;
   if (status == 200 && ApplyReply(body)) {
     selector_.OnAnswered(view_.controls(), SteadyMicros());
@@ -108,9 +108,9 @@
   try {
     if (reply->true_time) usage_.OnTrueTime(*reply->true_time, SteadyMicros());
     if (view_.Apply(*reply)) on_directory_(view_.MakeDirectory());
-    if (view_.version() >= reply->configuration_version) last_answer_at_ = watch_sent_at_;
+    if (view_.version() >= reply->configuration_version) last_current_reply_at_ = watch_sent_at_;
     return true;
-  } catch (const std::exception& error) {  // a configuration of another form than ours
+  } catch (const std::exception& error) {  // a configuration of an incompatible format
     spdlog::warn("watch reply not applied control={} error={}", selector_.Current(view_.controls()),
                  error.what());
     return false;
@@ -129,7 +129,7 @@
   const bool immediate = urgency == DemandUrgency::kImmediate;
   demand_urgent_ = demand_urgent_ || immediate;
   if (!immediate || std::exchange(demand_pending_, true)) return;
-  demand_timer_.expires_after(kDemandReportDelay);
+  demand_timer_.expires_after(kUrgentDemandDelay);
   demand_timer_.async_wait([this](const boost::system::error_code& error) {
     demand_pending_ = false;
     if (!error && !stopped_) SendDemand();
@@ -147,7 +147,7 @@
 void ControlLink::SendDemand() {
   const auto endpoint = ParseEndpoint(selector_.Current(view_.controls()));
   if (!endpoint || demand_.empty()) return;
-  // Demand that comes meanwhile is sent with the next report or watch request.
+  // Demand counted during a call is sent with the next report or watch request.
   if (demand_channel_.busy()) return;
   demand_channel_.Post(*endpoint, kDemandPath, Encode(TakeDemand()), [this](int, const std::string&) {
     if (!demand_.empty() && std::exchange(demand_urgent_, false)) SendDemand();
--- a/src/dataplane/control_client/control_link.hpp
+++ b/src/dataplane/control_client/control_link.hpp
@@ -1,6 +1,6 @@
-// A sidecar's link to the control plane: it watches one control process by long polls, fails over to another
-// when that one does not respond, and reports the demand for models. Sockets and timers only: system_view.hpp
-// holds the state, control_process_selector.hpp picks the control process.
+// A sidecar's link to the control plane: watches one control process by long polling, fails over to another
+// one when it does not respond, and reports demand for models and usage. This file holds only the sockets and
+// timers: system_view.hpp merges the state, control_process_selector.hpp picks the control process.
 #ifndef VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_LINK_HPP_
 #define VIOLETWING_DATAPLANE_CONTROL_CLIENT_CONTROL_LINK_HPP_
 
@@ -25,38 +25,41 @@
 
 namespace violetwing {
 
-/// How soon the control plane should get a report of demand.
+/// How soon demand must be reported to the control plane.
 enum class DemandUrgency {
   kDeferred,   ///< with the next report or watch request
   kImmediate,  ///< a request waits for the model
 };
 
-/// Keeps the sidecar's directory up to date. Used on the thread of `io`.
+/// Keeps the sidecar's directory up to date. Must be used on the thread of `io` only.
 class ControlLink {
  public:
   /// `on_directory` is called with each new directory.
   ControlLink(boost::asio::io_context& io, const NodeSettings& settings,
               std::function<void(DirectoryPtr)> on_directory);
 
-  /// Begins to watch.
+  /// Starts watching a control process.
   void Start();
-  /// Cancels all calls; the callback is not called any more.
+  /// Cancels all calls. `on_directory` is not called after this.
   void Stop();
-  /// Takes the seeds of new settings; nothing else may change.
+  /// Applies the seed nodes of `settings`. All other settings take effect only at a restart.
   void Reload(const NodeSettings& settings);
 
-  /// Whether a control process that is in contact with a quorum has answered so lately that this sidecar may
-  /// refuse what its configuration does not allow.
-  bool HasRecentQuorumAnswer(Micros now) const { return now - last_answer_at_ < kRecentAnswerWindow; }
+  /// Whether a control process in contact with a quorum has responded so recently that this sidecar may
+  /// reject requests which its configuration does not allow. Without that, its configuration may be outdated.
+  bool HasRecentQuorumAnswer(Micros now) const { return now - last_current_reply_at_ < kRecentAnswerWindow; }
 
-  /// Whether a key that the configuration holds may still be used: where revoked keys must stop in time on
-  /// every machine, one that is out of touch may miss a revocation.
-  bool MayTrustKeys(Micros now) const { return !key_lifetime_ || now - last_answer_at_ < *key_lifetime_; }
+  /// Whether API keys of the current configuration may be accepted. If revocations must take effect within a
+  /// time limit, a sidecar that has lost the control plane stops accepting keys, as it may have missed a
+  /// revocation.
+  bool MayTrustKeys(Micros now) const {
+    return !key_lifetime_ || now - last_current_reply_at_ < *key_lifetime_;
+  }
 
-  /// Adds to the demand that is reported next.
+  /// Adds `demand` to the next report.
   void CountDemand(const ModelDemand& demand, DemandUrgency urgency);
 
-  /// A server has begun to run a request of this tenant.
+  /// Counts a request of this tenant that a server began to run at `began_at` (steady clock).
   void CountUsage(const std::string& tenant, Micros began_at) {
     if (reports_usage_) usage_.Count(tenant, began_at);
   }
@@ -65,14 +68,14 @@
   const std::vector<std::string>& neighbors() const { return view_.neighbors(); }
 
  private:
-  // Longer than two watches that wait for an update. With the age that the answer of a control process may
-  // have, still shorter than a configuration may take to be in force.
+  // Longer than two long polls that time out without an update. Together with the maximum age of a response,
+  // it is still shorter than the time within which a new configuration must be in force.
   static constexpr Micros kRecentAnswerWindow = 1'500'000;
-  // Longer ago than any time-out, on a machine that has just started too.
+  // Before any timeout, even on a machine that has just booted, where the steady clock is near 0.
   static constexpr Micros kNever = std::numeric_limits<Micros>::min() / 2;
 
   void Watch();
-  void OnWatched(int status, const std::string& body);
+  void OnWatchFinished(int status, const std::string& body);
   bool ApplyReply(const std::string& body);
   std::vector<ModelDemand> TakeDemand();
   void SendDemand();
@@ -81,21 +84,21 @@
   const std::function<void(DirectoryPtr)> on_directory_;
   boost::asio::steady_timer retry_timer_;
   boost::asio::steady_timer demand_timer_;
-  bool demand_pending_ = false;
-  bool demand_urgent_ = false;  // a request waits for one of its models
+  bool demand_pending_ = false;  // `demand_timer_` is running
+  bool demand_urgent_ = false;   // a request is waiting for one of the models in `demand_`
   ControlChannel watch_channel_;
-  ControlChannel demand_channel_;  // of its own, as a watch request may be waiting for an update
+  ControlChannel demand_channel_;  // separate, as a watch request may wait for an update for a while
   bool stopped_ = false;
-  const std::optional<Micros> key_lifetime_;  // without an answer; empty if keys need not stop in time
+  const std::optional<Micros> key_lifetime_;  // max. age of the last current reply; empty: no limit
   Micros watch_sent_at_ = 0;
-  Micros last_answer_at_ = kNever;  // sending of the last watch after which this sidecar was up to date
+  Micros last_current_reply_at_ = kNever;  // send time of the last watch that left this sidecar up to date
 
   SystemView view_;
   ControlProcessSelector selector_;
   std::map<std::pair<std::string, std::string>, ModelDemand> demand_;
   const bool reports_usage_;
   UsageCounter usage_;
-  UsageReport usage_in_flight_;  // of the watch in flight
+  UsageReport usage_in_flight_;  // sent with the watch in flight
 };
 
 }  // namespace violetwing
--- a/src/dataplane/control_client/control_process_selector.cpp
+++ b/src/dataplane/control_client/control_process_selector.cpp
@@ -5,13 +5,13 @@
 namespace violetwing {
 namespace {
 
-// After a failure a sidecar stays away from its own zone's control processes for so long.
+// Minimum time from a failure until a sidecar fails back to its own zone's control processes.
 constexpr Micros kFailBackDelay = 5'000'000;
 
 }  // namespace
 
 const std::string& ControlProcessSelector::Current(const std::vector<ControlNode>& known) {
-  if (current_.empty()) Pick(known);
+  if (current_.empty()) SelectNext(known);
   return current_;
 }
 
@@ -24,25 +24,26 @@
 }
 
 void ControlProcessSelector::SortByPreference(std::vector<std::string>& addresses) const {
-  std::sort(addresses.begin(), addresses.end(),
-            [this](const std::string& a, const std::string& b) { return Hash(order_, a) < Hash(order_, b); });
+  std::sort(addresses.begin(), addresses.end(), [this](const std::string& a, const std::string& b) {
+    return Hash(preference_seed_, a) < Hash(preference_seed_, b);
+  });
 }
 
 void ControlProcessSelector::OnAnswered(const std::vector<ControlNode>& known, Micros now) {
   failed_.clear();
   const bool failed_recently = failed_at_ > 0 && now - failed_at_ < kFailBackDelay;
-  const std::vector<std::string> own = AddressesInOwnZone(known);
-  const bool in_own = std::find(own.begin(), own.end(), current_) != own.end();
-  if (!failed_recently && !own.empty() && (from_seeds_ || !in_own)) Pick(known);
+  const std::vector<std::string> own_zone = AddressesInOwnZone(known);
+  const bool in_own_zone = std::find(own_zone.begin(), own_zone.end(), current_) != own_zone.end();
+  if (!failed_recently && !own_zone.empty() && (from_seeds_ || !in_own_zone)) SelectNext(known);
 }
 
 void ControlProcessSelector::OnFailed(const std::vector<ControlNode>& known, Micros now) {
   failed_at_ = now;
   if (!current_.empty()) failed_.push_back(current_);
-  Pick(known);
+  SelectNext(known);
 }
 
-// Control processes of the sidecar's zone first, then the other known ones, then the seeds.
+// Ordered: control processes of the sidecar's own zone, other known ones, seeds.
 std::vector<std::string> ControlProcessSelector::Candidates(const std::vector<ControlNode>& known) const {
   std::vector<std::string> addresses = AddressesInOwnZone(known);
   SortByPreference(addresses);
@@ -59,7 +60,7 @@
   return addresses;
 }
 
-void ControlProcessSelector::Pick(const std::vector<ControlNode>& known) {
+void ControlProcessSelector::SelectNext(const std::vector<ControlNode>& known) {
   const std::vector<std::string> candidates = Candidates(known);
   std::vector<std::string> not_failed;
   for (const std::string& address : candidates)
@@ -69,7 +70,7 @@
     not_failed = candidates;
   }
   if (not_failed.empty()) return;
-  // A random seed, so that not all sidecars start at the first one.
+  // A random seed node, so that not all sidecars connect to the first one at startup.
   from_seeds_ = known.empty();
   current_ = from_seeds_ ? not_failed[random_.Below(not_failed.size())] : not_failed.front();
 }
--- a/src/dataplane/control_client/system_view.cpp
+++ b/src/dataplane/control_client/system_view.cpp
@@ -12,11 +12,11 @@
 WatchRequest SystemView::NextWatchRequest(int wait_ms, std::vector<ModelDemand> demand) const {
   WatchRequest request;
   request.node = node_;
-  request.load_report_address = address_;
+  request.load_report_address = load_report_address_;
   request.neighbors_hash = neighbors_.hash;
-  request.incarnation = source_;
+  request.incarnation = control_incarnation_;
   request.configuration_version = version();
-  request.accepts_patches = takes_patches_;
+  request.accepts_patches = accepts_patches_;
   request.version_vector = version_vector_;
   request.wait_ms = wait_ms;
   request.demand = std::move(demand);
@@ -24,24 +24,25 @@
 }
 
 bool SystemView::Apply(const WatchReply& reply) {
-  const bool renumbered = reply.window_position != number_ || reply.sidecar_count != sidecars_;
+  const bool index_changed = reply.window_position != sidecar_index_ || reply.sidecar_count != sidecar_count_;
   const bool configuration_changed = ApplyConfiguration(reply);
   const bool instances_changed = ApplyInstances(reply);
-  source_ = reply.incarnation;
-  controls_ = reply.control_nodes;
+  control_incarnation_ = reply.incarnation;
+  control_nodes_ = reply.control_nodes;
   const bool neighbors_changed = reply.neighbors.hash != neighbors_.hash;
   if (neighbors_changed) neighbors_ = reply.neighbors;
-  number_ = reply.window_position;
-  sidecars_ = reply.sidecar_count;
-  return renumbered || configuration_changed || instances_changed || neighbors_changed;
+  sidecar_index_ = reply.window_position;
+  sidecar_count_ = reply.sidecar_count;
+  return index_changed || configuration_changed || instances_changed || neighbors_changed;
 }
 
 bool SystemView::ApplyConfiguration(const WatchReply& reply) {
   if (reply.configuration_version <= version()) return false;
   if (reply.configuration_document.empty() && reply.configuration_patches.empty()) return false;
-  std::optional<configuration::ReadResult> read = ReadConfiguration(reply);
-  takes_patches_ = read && read->configuration != nullptr;  // else the full document is requested next
-  if (!takes_patches_) {
+  std::optional<configuration::ReadResult> read = ParseConfiguration(reply);
+  accepts_patches_ =
+      read && read->configuration != nullptr;  // otherwise the next request asks for the full document
+  if (!accepts_patches_) {
     spdlog::error("configuration rejected version={} findings={}", reply.configuration_version,
                   read ? ToText(read->findings) : "patches do not apply to the current version");
     return false;
@@ -55,8 +56,8 @@
   return true;
 }
 
-// Empty if the patches do not lead from the current version to the reply's.
-std::optional<configuration::ReadResult> SystemView::ReadConfiguration(const WatchReply& reply) const {
+// Empty if the patches do not turn the current version into the reply's version.
+std::optional<configuration::ReadResult> SystemView::ParseConfiguration(const WatchReply& reply) const {
   if (reply.configuration_patches.empty()) return configuration::Read(reply.configuration_document);
   if (configuration_message_ == nullptr) return std::nullopt;
   std::vector<nlohmann::ordered_json> patches;
@@ -64,9 +65,9 @@
     patches.push_back(nlohmann::ordered_json::parse(patch, nullptr, /*allow_exceptions=*/false));
   std::optional<configuration::ReadResult> read =
       configuration::ReadPatched(*configuration_message_, patches);
-  const bool fits =
+  const bool is_valid =
       read && read->configuration != nullptr && read->configuration->version == reply.configuration_version;
-  return fits ? std::move(read) : std::nullopt;
+  return is_valid ? std::move(read) : std::nullopt;
 }
 
 bool SystemView::ApplyInstances(const WatchReply& reply) {
@@ -80,17 +81,17 @@
   return !reply.changed_instances.empty();
 }
 
-// Drops what another control process had sent, except that a server is draining or gone: this process may not
-// have learned of that yet.
+// Replaces the instances that another control process had sent. Keeps the draining or removed phase of a
+// server, as the new control process may not have learned of it yet.
 void SystemView::ReplaceInstances(const WatchReply& reply) {
   const std::map<std::string, Instance> before = std::exchange(instances_, {});
   for (const Instance& instance : reply.changed_instances) {
     const auto known = before.find(instance.id);
-    const bool draining = known != before.end() && IsLeaving(known->second.phase);
-    if (draining) instances_[instance.id] = known->second;
+    const bool leaving = known != before.end() && IsLeaving(known->second.phase);
+    if (leaving) instances_[instance.id] = known->second;
     MergeInstance(instance);
   }
-  // Incarnations of control processes that have ended are forgotten.
+  // Replaced rather than merged: drops the counters of control processes that have ended.
   version_vector_ = reply.version_vector;
 }
 
@@ -104,13 +105,13 @@
   if (instance.sequence < known.sequence && !IsLeaving(instance.phase)) return;
   const Phase phase = MergePhase(known.phase, instance.phase);
   if (IsLeaving(phase) && !IsLeaving(known.phase))
-    spdlog::info("server leaves instance={} phase={}", instance.id, Name(phase));
+    spdlog::info("server leaving instance={} phase={}", instance.id, Name(phase));
   known = instance;
   known.phase = phase;
 }
 
 DirectoryPtr SystemView::MakeDirectory() const {
-  return std::make_shared<const Directory>(*base_directory_, instances_, number_, sidecars_);
+  return std::make_shared<const Directory>(*base_directory_, instances_, sidecar_index_, sidecar_count_);
 }
 
 }  // namespace violetwing
--- a/src/dataplane/directory/api_key_index.cpp
+++ b/src/dataplane/directory/api_key_index.cpp
@@ -8,9 +8,9 @@
 namespace violetwing {
 namespace {
 
-std::uint64_t DigestOf(std::string_view key) { return XXH3_64bits(key.data(), key.size()); }
+std::uint64_t KeyDigest(std::string_view key) { return XXH3_64bits(key.data(), key.size()); }
 
-// Takes the same time wherever the keys differ.
+// The running time does not depend on where keys of equal length differ, against timing attacks.
 bool EqualInConstantTime(std::string_view a, std::string_view b) {
   if (a.size() != b.size()) return false;
   unsigned difference = 0;
@@ -24,11 +24,11 @@
 ApiKeyIndex::ApiKeyIndex(const configuration::Configuration& configuration)
     : required_(!configuration.tenants.empty()) {
   for (const configuration::Tenant& tenant : configuration.tenants)
-    for (const std::string& key : tenant.api_keys) by_digest_.emplace(DigestOf(key), Entry{key, &tenant});
+    for (const std::string& key : tenant.api_keys) by_digest_.emplace(KeyDigest(key), Entry{key, &tenant});
 }
 
 const configuration::Tenant* ApiKeyIndex::Find(std::string_view key) const {
-  const auto [begin, end] = by_digest_.equal_range(DigestOf(key));
+  const auto [begin, end] = by_digest_.equal_range(KeyDigest(key));
   const configuration::Tenant* found = nullptr;
   for (auto it = begin; it != end; ++it)
     if (EqualInConstantTime(it->second.key, key)) found = it->second.tenant;
--- a/src/dataplane/directory/api_key_index.hpp
+++ b/src/dataplane/directory/api_key_index.hpp
@@ -1,5 +1,4 @@
-// The API keys of a configuration and the tenants that hold them. A core: it holds no clock, socket, file or
-// thread.
+// Index of a configuration's API keys and their tenants. Sans-I/O: holds no clock, socket, file or thread.
 #ifndef VIOLETWING_DATAPLANE_DIRECTORY_API_KEY_INDEX_HPP_
 #define VIOLETWING_DATAPLANE_DIRECTORY_API_KEY_INDEX_HPP_
 
@@ -10,18 +9,18 @@
 
 namespace violetwing {
 
-/// Finds the tenant of a key. The time that a search takes tells nothing about the configured keys: they are
-/// found by a digest and compared without regard to where they differ. The configuration must outlive the
-/// index, and owns the tenants. Immutable.
+/// Finds the tenant of a key. Lookup time reveals nothing about the configured keys: they are looked up by
+/// digest and compared in constant time. The configuration owns the tenants and must outlive the index.
+/// Immutable.
 class ApiKeyIndex {
  public:
   ApiKeyIndex() = default;
   /// Indexes the keys of `configuration`.
   explicit ApiKeyIndex(const configuration::Configuration& configuration);
 
-  /// Whether requests need a key: the configuration has tenants.
+  /// Whether requests need a key, which they do if the configuration has tenants.
   bool IsRequired() const { return required_; }
-  /// The tenant that holds `key`; null if none does.
+  /// Returns the tenant that owns `key`, or null.
   const configuration::Tenant* Find(std::string_view key) const;
 
  private:
--- a/src/dataplane/directory/directory.cpp
+++ b/src/dataplane/directory/directory.cpp
@@ -14,7 +14,7 @@
   return false;
 }
 
-// An index of the configuration, empty without one.
+// Builds an index of the configuration; an empty one if that is null.
 template <class Index>
 std::shared_ptr<const Index> MakeIndex(const configuration::Configuration* configuration) {
   return configuration == nullptr ? std::make_shared<const Index>()
--- a/src/dataplane/directory/directory.hpp
+++ b/src/dataplane/directory/directory.hpp
@@ -1,5 +1,5 @@
-// A sidecar's snapshot of the system: configuration, servers, and its own index among the sidecars. A core:
-// it holds no clock, socket, file or thread.
+// A sidecar's snapshot of the system: configuration, servers, and its own index among the sidecars. Sans-I/O:
+// holds no clock, socket, file or thread.
 #ifndef VIOLETWING_DATAPLANE_DIRECTORY_DIRECTORY_HPP_
 #define VIOLETWING_DATAPLANE_DIRECTORY_DIRECTORY_HPP_
 
@@ -16,43 +16,43 @@
 
 namespace violetwing {
 
-/// Immutable: a change makes a new directory, which replaces the old one as a whole. Requests in flight keep
-/// the one that they began with. Pointers that it returns are valid as long as it lives.
+/// Immutable: each change produces a new directory that replaces the old one, while requests in flight keep
+/// the one that they started with. Returned pointers are valid as long as the directory lives.
 class Directory {
  public:
-  /// Without configuration and servers, as after the start.
+  /// A directory without configuration and servers, as at startup.
   Directory() = default;
   /// `configuration` may be null. `sidecar_index`: position of this sidecar, from 0, among `sidecar_count`.
   Directory(const std::shared_ptr<const configuration::Configuration>& configuration,
             const std::map<std::string, Instance>& instances, int sidecar_index, int sidecar_count);
-  /// The configuration and routes of `previous`, which are shared with it, with other servers.
+  /// A directory with other servers that shares the configuration, routes and API keys of `previous`.
   Directory(const Directory& previous, const std::map<std::string, Instance>& instances, int sidecar_index,
             int sidecar_count);
 
-  /// False until the control plane has sent one.
+  /// False until the control plane has sent a configuration.
   bool HasConfiguration() const { return configuration_ != nullptr; }
-  /// Version of the configuration; 0 without one.
+  /// Version of the configuration; 0 if there is none.
   std::int64_t version() const { return configuration_ == nullptr ? 0 : configuration_->version; }
-  /// Limits of the configuration; the defaults without one.
+  /// Limits of the configuration; the defaults if there is none.
   const configuration::Limits& limits() const;
-  /// Routes of the configuration; empty without one.
+  /// Routes of the configuration; empty if there is none.
   const RouteTable& routes() const { return *routes_; }
-  /// API keys of the configuration; none are required without one.
+  /// API keys of the configuration; requests need no key if there is none.
   const ApiKeyIndex& api_keys() const { return *api_keys_; }
-  /// Null for an unknown name.
+  /// Returns the backend of that name, or null.
   const configuration::Backend* FindBackend(const std::string& name) const;
 
   /// Ready servers of a backend, sorted by id.
   const std::vector<const Instance*>& Servers(const std::string& backend) const;
-  /// Of these, those that have loaded a model, and its adapter unless that is empty.
+  /// Ready servers of a backend that have loaded `model`, and its `adapter` unless that is empty.
   std::vector<const Instance*> ServersWithModel(const std::string& backend, const std::string& model,
                                                 const std::string& adapter) const;
-  /// An instance in any phase; null for an unknown id.
+  /// Returns the instance with that id, in any phase, or null.
   const Instance* Find(const std::string& id) const;
 
-  /// Number of this sidecar, from 0.
+  /// Index of this sidecar among all sidecars, from 0.
   int sidecar_index() const { return sidecar_index_; }
-  /// At least 1.
+  /// Number of sidecars, at least 1.
   int sidecar_count() const { return sidecar_count_; }
 
  private:
@@ -64,7 +64,7 @@
   std::shared_ptr<const RouteTable> routes_ = std::make_shared<const RouteTable>();
   std::shared_ptr<const ApiKeyIndex> api_keys_ = std::make_shared<const ApiKeyIndex>();
   std::map<std::string, Instance> instances_;
-  std::map<std::string, std::vector<const Instance*>> servers_;  // by backend
+  std::map<std::string, std::vector<const Instance*>> servers_;  // ready servers by backend
   int sidecar_index_ = 0;
   int sidecar_count_ = 1;
 };
--- a/src/dataplane/directory/route_table.cpp
+++ b/src/dataplane/directory/route_table.cpp
@@ -5,7 +5,7 @@
 namespace violetwing {
 namespace {
 
-// Without the port, in lower case; independent of the locale.
+// The host name in lower case without its port. Independent of the locale.
 std::string HostKey(std::string_view host) {
   host = host.substr(0, host.find(':'));
   std::string key(host);
--- a/src/dataplane/directory/route_table.hpp
+++ b/src/dataplane/directory/route_table.hpp
@@ -1,4 +1,5 @@
-// The routes of a configuration, by host and path prefix. A core: it holds no clock, socket, file or thread.
+// Index of a configuration's routes by host and path prefix. Sans-I/O: holds no clock, socket, file or
+// thread.
 #ifndef VIOLETWING_DATAPLANE_DIRECTORY_ROUTE_TABLE_HPP_
 #define VIOLETWING_DATAPLANE_DIRECTORY_ROUTE_TABLE_HPP_
 
@@ -12,18 +13,19 @@
 
 namespace violetwing {
 
-/// Index of a configuration's routes. The configuration must outlive it, and owns the routes. Immutable.
+/// Index of a configuration's routes. The configuration owns the routes and must outlive the index.
+/// Immutable.
 class RouteTable {
  public:
   RouteTable() = default;
   /// Indexes the routes of `configuration`.
   explicit RouteTable(const configuration::Configuration& configuration);
-  /// The route of `host` with the longest prefix of `path`, or null. The case of the host, a port in it, and
-  /// a query in the path do not matter.
+  /// Returns the route of `host` with the longest matching prefix of `path`, or null. Ignores the case of
+  /// `host`, a port in it, and a query in `path`.
   const configuration::Route* Match(std::string_view host, std::string_view path) const;
 
  private:
-  // By host in lower case, the longest prefixes first.
+  // By lower-case host; longest prefix first.
   std::map<std::string, std::vector<const configuration::Route*>, std::less<>> by_host_;
 };
 
--- a/src/dataplane/edge_service.cpp
+++ b/src/dataplane/edge_service.cpp
@@ -15,13 +15,13 @@
 using std::chrono::steady_clock;
 
 constexpr milliseconds kTickInterval{300};
-// The platform probes readiness every second, and sends no more connections after two failures.
+// The platform probes readiness every second and sends no new connections after two failed probes.
 constexpr milliseconds kUnreadyNoticeDelay{2600};
 constexpr milliseconds kDrainPollInterval{20};
-// Part of the grace period that is left for the exit itself.
+// Part of the grace period that is reserved for the process exit itself.
 constexpr milliseconds kExitReserve{400};
 
-std::uint64_t Seed() { return (std::uint64_t{std::random_device()()} << 32U) | std::random_device()(); }
+std::uint64_t RandomSeed() { return (std::uint64_t{std::random_device()()} << 32U) | std::random_device()(); }
 
 }  // namespace
 
@@ -31,10 +31,10 @@
       plane_{
           io,
           std::make_shared<const Directory>(),
-          LoadBalancer(Seed()),
+          LoadBalancer(RandomSeed()),
           RetryBudget(settings_.retry_ratio, settings_.retry_slack, settings_.retry_window_s, SteadyMicros()),
           UpstreamPool(io),
-          Random(Seed()),
+          Random(RandomSeed()),
           nullptr,
           {}},
       ingress_(io,
--- a/src/dataplane/edge_service.hpp
+++ b/src/dataplane/edge_service.hpp
@@ -1,4 +1,4 @@
-// The sidecar: its listeners, its link to the control plane, and its graceful shutdown.
+// The sidecar process: its listeners, its link to the control plane, and its graceful shutdown.
 #ifndef VIOLETWING_DATAPLANE_EDGE_SERVICE_HPP_
 #define VIOLETWING_DATAPLANE_EDGE_SERVICE_HPP_
 
@@ -15,18 +15,19 @@
 
 namespace violetwing {
 
-/// A sidecar. Used on the thread of `io`, which must outlive it.
+/// A sidecar. Must be used on the thread of `io` only, which must outlive it.
 class EdgeService {
  public:
-  /// Opens nothing yet.
+  /// Opens no socket; Start does.
   EdgeService(boost::asio::io_context& io, NodeSettings settings);
 
-  /// Listens and connects to the control plane. On an error, `problem` says what failed, for the log.
+  /// Listens and connects to the control plane. On failure, returns the error and sets `problem` to a
+  /// one-line description for the log.
   std::error_code Start(std::string& problem);
-  /// Takes the seeds of new settings; nothing else may change.
+  /// Applies the seed nodes of `settings`. All other settings take effect only at a restart.
   void Reload(const NodeSettings& settings) { link_.Reload(settings); }
-  /// Graceful shutdown: becomes unready, serves on until the platform has noticed, drains the open requests
-  /// within the grace period, and stops the io_context.
+  /// Graceful shutdown: reports unready, keeps serving until the platform has noticed, drains the requests in
+  /// flight within the grace period, and stops the io_context.
   void Stop();
 
  private:
--- a/src/dataplane/http/http_text.cpp
+++ b/src/dataplane/http/http_text.cpp
@@ -8,7 +8,8 @@
 namespace violetwing {
 namespace {
 
-constexpr std::string_view kOfConnection[] = {
+// Fields that are not forwarded: the hop-by-hop fields, and Content-Length, which is written anew.
+constexpr std::string_view kNotForwarded[] = {
     "Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding",
     "TE",         "Trailer",    "Upgrade",          "Content-Length"};
 
@@ -25,26 +26,27 @@
 }
 
 FieldList EndToEndFields(const boost::beast::http::fields& fields) {
-  std::vector<std::string> named;
+  std::vector<std::string> connection_options;
   const auto [begin, end] = fields.equal_range(boost::beast::http::field::connection);
   for (auto it = begin; it != end; ++it)
-    for (const auto token : boost::beast::http::token_list(it->value())) named.emplace_back(token);
+    for (const auto token : boost::beast::http::token_list(it->value()))
+      connection_options.emplace_back(token);
   FieldList out;
   for (const auto& field : fields) {
     const std::string_view name(field.name_string().data(), field.name_string().size());
     const auto same = [&](std::string_view other) { return FieldNamesEqual(name, other); };
-    if (std::any_of(std::begin(kOfConnection), std::end(kOfConnection), same)) continue;
-    if (std::any_of(named.begin(), named.end(), same)) continue;
+    if (std::any_of(std::begin(kNotForwarded), std::end(kNotForwarded), same)) continue;
+    if (std::any_of(connection_options.begin(), connection_options.end(), same)) continue;
     out.push_back({std::string(name), std::string(field.value().data(), field.value().size())});
   }
   return out;
 }
 
-double ParseNumber(const std::string* text, double otherwise) {
-  if (text == nullptr) return otherwise;
+double ParseNumber(const std::string* text, double default_value) {
+  if (text == nullptr) return default_value;
   double out = 0;
   const auto [end, error] = std::from_chars(text->data(), text->data() + text->size(), out);
-  return error == std::errc() && end == text->data() + text->size() ? out : otherwise;
+  return error == std::errc() && end == text->data() + text->size() ? out : default_value;
 }
 
 void AppendField(std::string& head, std::string_view name, std::string_view value) {
--- a/src/dataplane/http/http_text.hpp
+++ b/src/dataplane/http/http_text.hpp
@@ -1,4 +1,5 @@
-// Header fields of HTTP messages as the data plane forwards them: in their order, without hop-by-hop fields.
+// Header fields of HTTP messages as the data plane forwards them: in the original order, without hop-by-hop
+// fields.
 #ifndef VIOLETWING_DATAPLANE_HTTP_HTTP_TEXT_HPP_
 #define VIOLETWING_DATAPLANE_HTTP_HTTP_TEXT_HPP_
 
@@ -18,20 +19,21 @@
 /// Header fields in the order of the message.
 using FieldList = std::vector<Field>;
 
-/// Compares field names, without regard to case.
+/// Compares field names, ignoring case.
 bool FieldNamesEqual(std::string_view a, std::string_view b);
-/// Value of the first field of that name; null if there is none.
+/// Returns the value of the first field of that name, or null.
 const std::string* FindField(const FieldList& fields, std::string_view name);
 /// The end-to-end fields of a message: without hop-by-hop fields and those named in Connection (RFC 9110,
 /// section 7.6.1), and without Content-Length, which is written anew.
 FieldList EndToEndFields(const boost::beast::http::fields& fields);
-/// Parses a decimal number, as "300" or "0.25"; `otherwise` if `text` is null or anything else.
-double ParseNumber(const std::string* text, double otherwise);
+/// Parses a decimal number such as "300" or "0.25". Returns `default_value` if `text` is null or not a
+/// number.
+double ParseNumber(const std::string* text, double default_value);
 
-/// Appends "name: value" and the line end.
+/// Appends "name: value" and CRLF to `head`.
 void AppendField(std::string& head, std::string_view name, std::string_view value);
 
-// Names of the header fields that the system reads or sets (the users' PROTOCOL.md).
+// Names of the header fields that the system reads or sets, as documented for users in PROTOCOL.md.
 namespace field {
 inline constexpr std::string_view kRequestId = "X-Violetwing-Request-Id";
 inline constexpr std::string_view kDeadline = "X-Violetwing-Deadline-Ms";
--- a/src/dataplane/ingress/client_connection.cpp
+++ b/src/dataplane/ingress/client_connection.cpp
@@ -18,9 +18,9 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-// For the complete body to arrive.
+// Maximum time for the complete request body to arrive.
 constexpr milliseconds kBodyTimeout{20'000};
-// For the client to accept what is written.
+// Maximum time for the client to accept one write.
 constexpr milliseconds kWriteTimeout{20'000};
 
 milliseconds ToMilliseconds(double ms) { return milliseconds(static_cast<long>(ms)); }
@@ -36,8 +36,8 @@
   AwaitRequest();
 }
 
-void ClientConnection::ArmTimeout(milliseconds time) {
-  timeout_timer_.expires_after(time);
+void ClientConnection::ArmTimeout(milliseconds timeout) {
+  timeout_timer_.expires_after(timeout);
   timeout_timer_.async_wait([self = shared_from_this(), phase = phase_](ErrorCode error) {
     if (error || self->closed_ || self->phase_ != phase) return;
     if (phase == Phase::kHead) return self->RejectAndClose(http::error::end_of_stream);
@@ -89,11 +89,12 @@
 }
 
 void ClientConnection::RejectAndClose(ErrorCode error) {
-  const bool left = error == http::error::end_of_stream && phase_ == Phase::kHead && buffer_.size() == 0;
+  const bool closed_before_request =
+      error == http::error::end_of_stream && phase_ == Phase::kHead && buffer_.size() == 0;
   const bool broken = error == asio::error::connection_reset || error == asio::error::eof ||
                       error == http::error::partial_message || error == asio::error::operation_aborted;
-  if (left || broken) return Close();
-  phase_ = Phase::kAnswering;
+  if (closed_before_request || broken) return Close();
+  phase_ = Phase::kResponding;
   head_sent_ = finished_ = false;
   keep_alive_ = false;
   if (error == http::error::header_limit) return Answer(431, "Request Header Fields Too Large", {}, "");
@@ -104,7 +105,7 @@
 
 void ClientConnection::OnRequest() {
   timeout_timer_.cancel();
-  phase_ = Phase::kAnswering;
+  phase_ = Phase::kResponding;
   head_sent_ = finished_ = chunked_ = false;
   auto& message = parser_->get();
   keep_alive_ = message.keep_alive();
@@ -119,20 +120,20 @@
   request.arrived = steady_clock::now();
   parser_.reset();
   ++request_number_;
-  WatchClient();
+  WatchForDisconnect();
   ingress_.handler_(shared_from_this(), std::move(request));
 }
 
-// A client that closes before its answer has ended has left. One that sends its next request already cannot
-// be watched any more.
-void ClientConnection::WatchClient() {
+// Detects a client that disconnects before its response is complete. Stops watching once the client has
+// pipelined further data, as an end of the stream cannot be peeked behind it.
+void ClientConnection::WatchForDisconnect() {
   socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this(),
                                               number = request_number_](ErrorCode error) {
-    if (self->closed_ || self->phase_ != Phase::kAnswering || number != self->request_number_) return;
+    if (self->closed_ || self->phase_ != Phase::kResponding || number != self->request_number_) return;
     char byte = 0;
     const ssize_t size = error ? 0 : recv(self->socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     if (size > 0) return;
-    if (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return self->WatchClient();
+    if (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return self->WatchForDisconnect();
     self->Close();
   });
 }
@@ -187,17 +188,17 @@
 void ClientConnection::Write() {
   if (closed_ || !output_in_flight_.empty()) return;
   if (pending_output_.empty()) {
-    if (!finished_ || phase_ != Phase::kAnswering) return;
+    if (!finished_ || phase_ != Phase::kResponding) return;
     timeout_timer_.cancel();
-    // An answer that began before the stop has not told the client that the connection ends: it ends all the
-    // same, and a request that comes at this moment is not read.
+    // A response that began before the shutdown carries no "Connection: close", but its connection is closed
+    // too. A request that arrives at this moment is not read.
     if (!keep_alive_ || ingress_.closing_) return Close();
     --ingress_.busy_;
     phase_ = Phase::kIdle;
     return AwaitRequest();
   }
   output_in_flight_.swap(pending_output_);
-  if (phase_ == Phase::kAnswering) ArmTimeout(kWriteTimeout);
+  if (phase_ == Phase::kResponding) ArmTimeout(kWriteTimeout);
   asio::async_write(socket_, asio::buffer(output_in_flight_),
                     [self = shared_from_this()](ErrorCode error, std::size_t) {
                       if (!self->closed_) self->OnWritten(error);
@@ -207,7 +208,7 @@
 void ClientConnection::OnWritten(ErrorCode error) {
   output_in_flight_.clear();
   if (error) return Close();
-  if (phase_ == Phase::kAnswering) timeout_timer_.cancel();
+  if (phase_ == Phase::kResponding) timeout_timer_.cancel();
   if (pending_output_.empty() && !finished_ && on_drained) on_drained();
   Write();
 }
@@ -218,16 +219,16 @@
 
 void ClientConnection::Close() {
   if (std::exchange(closed_, true)) return;
-  const auto gone = std::exchange(on_disconnect, nullptr);
+  const auto notify_disconnect = std::exchange(on_disconnect, nullptr);
   on_drained = nullptr;
   if (phase_ != Phase::kIdle) --ingress_.busy_;
   timeout_timer_.cancel();
   ErrorCode ignored;
   socket_.shutdown(Tcp::socket::shutdown_send, ignored);
   socket_.close(ignored);
-  // The caller may hold no other reference.
+  // Deferred, as the caller may hold no other reference to this object.
   asio::post(ingress_.io_, [self = shared_from_this()] { self->ingress_.connections_.erase(self); });
-  if (gone) gone();
+  if (notify_disconnect) notify_disconnect();
 }
 
 }  // namespace violetwing
--- a/src/dataplane/ingress/client_connection.hpp
+++ b/src/dataplane/ingress/client_connection.hpp
@@ -1,5 +1,5 @@
-// HTTP/1.1 connections of clients. A request is read completely before it is handled, one after the other on
-// a connection; responses are streamed.
+// HTTP/1.1 server side of client connections. The requests of a connection are handled one at a time; each is
+// read completely first. Responses are streamed.
 #ifndef VIOLETWING_DATAPLANE_INGRESS_CLIENT_CONNECTION_HPP_
 #define VIOLETWING_DATAPLANE_INGRESS_CLIENT_CONNECTION_HPP_
 
@@ -26,60 +26,61 @@
   std::string host;
   FieldList fields;  ///< end-to-end fields only
   std::string body;
-  bool has_length = false;  ///< the client sent a body, possibly empty
+  bool has_length = false;  ///< the request has Content-Length or is chunked: it has a body, possibly empty
   std::chrono::steady_clock::time_point arrived;
 };
 
 class Ingress;
 
-/// Connection of one client. It owns itself until it is closed, and runs on the thread of the Ingress, which
+/// Connection of one client. Keeps itself alive until it is closed. Runs on the thread of the Ingress, which
 /// must outlive it.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
   using Tcp = boost::asio::ip::tcp;
 
-  /// An accepted socket.
+  /// `socket`: an accepted connection.
   ClientConnection(Ingress& ingress, Tcp::socket socket);
-  /// Begins to read requests.
+  /// Starts reading requests.
   void Start();
 
-  /// Begins the response to the current request; the second call for a request has no effect. Without a
-  /// `length` the body is chunked, or ends with the connection for HTTP/1.0. `bodiless`: no body follows.
+  /// Starts the response to the current request; further calls for the same request have no effect. Without a
+  /// `length` the body is chunked, or for HTTP/1.0 delimited by closing the connection. `bodiless`: no body
+  /// follows.
   void SendHead(int status, const std::string& reason, const FieldList& fields,
                 std::optional<std::uint64_t> length, bool bodiless);
   /// Sends a part of the body.
   void SendData(std::string_view data);
   /// Completes the response.
   void Finish();
-  /// Sends a complete response of the sidecar itself.
+  /// Sends a complete response that the sidecar itself generates.
   void Answer(int status, const std::string& reason, const FieldList& fields, const std::string& body);
-  /// Closes the connection, so that the response does not look complete.
+  /// Closes the connection, so that the client does not take the response as complete. Skips `on_disconnect`.
   void Abort();
-  /// Bytes of the response that are not yet written to the socket.
+  /// Number of response bytes that are not yet written to the socket.
   std::size_t unsent() const { return pending_output_.size() + output_in_flight_.size(); }
   /// True once SendHead was called for the current request.
   bool head_sent() const { return head_sent_; }
 
   std::function<void()> on_disconnect;  ///< the client disconnected before the response was complete
-  std::function<void()> on_drained;     ///< all bytes so far are written to the socket
+  std::function<void()> on_drained;     ///< all bytes so far were written to the socket
 
-  /// Closes it if no request is being read or answered.
+  /// Closes the connection if no request is being read or answered.
   void CloseIfIdle();
-  /// Closes it; calls `on_disconnect` if the response is not complete.
+  /// Closes the connection; calls `on_disconnect` if a response is not complete.
   void Close();
 
  private:
   using ErrorCode = boost::system::error_code;
   using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
-  enum class Phase { kIdle, kHead, kBody, kAnswering };
+  enum class Phase { kIdle, kHead, kBody, kResponding };
 
   void AwaitRequest();
   void ReadHead();
   void ReadBody();
   void OnRequest();
   void RejectAndClose(ErrorCode error);
-  void WatchClient();
-  void ArmTimeout(std::chrono::milliseconds time);
+  void WatchForDisconnect();
+  void ArmTimeout(std::chrono::milliseconds timeout);
   void Write();
   void OnWritten(ErrorCode error);
 
@@ -88,7 +89,7 @@
   boost::asio::steady_timer timeout_timer_;
   boost::beast::flat_buffer buffer_;
   std::unique_ptr<Parser> parser_;
-  FieldList fields_;  // end-to-end fields of the request's head: those of a trailer are not among them
+  FieldList fields_;  // end-to-end fields of the request's header section; excludes those of its trailer
   Phase phase_ = Phase::kIdle;
   std::string pending_output_;
   std::string output_in_flight_;
@@ -97,7 +98,7 @@
   bool keep_alive_ = true;
   bool finished_ = false;
   bool closed_ = false;
-  bool http10_client_ = false;  // HTTP/1.0: no chunks
+  bool http10_client_ = false;  // HTTP/1.0, which has no chunked encoding
   std::uint64_t request_number_ = 0;
 };
 
--- a/src/dataplane/ingress/ingress.cpp
+++ b/src/dataplane/ingress/ingress.cpp
@@ -33,10 +33,10 @@
 void Ingress::Accept() {
   acceptor_.async_accept([this](boost::system::error_code error, asio::ip::tcp::socket socket) {
     if (error == asio::error::operation_aborted || !acceptor_.is_open()) return;
-    if (error) {  // out of file descriptors: retry later
+    if (error) {  // such as out of file descriptors: retry later
       accept_retry_timer_.expires_after(kAcceptRetryDelay);
-      accept_retry_timer_.async_wait([this](boost::system::error_code stopped) {
-        if (!stopped) Accept();
+      accept_retry_timer_.async_wait([this](boost::system::error_code timer_error) {
+        if (!timer_error) Accept();
       });
       return;
     }
--- a/src/dataplane/ingress/ingress.hpp
+++ b/src/dataplane/ingress/ingress.hpp
@@ -1,4 +1,4 @@
-// The listener for connections of clients.
+// The listener for client connections.
 #ifndef VIOLETWING_DATAPLANE_INGRESS_INGRESS_HPP_
 #define VIOLETWING_DATAPLANE_INGRESS_INGRESS_HPP_
 
@@ -16,25 +16,26 @@
 
 namespace violetwing {
 
-/// A listener and the connections that it accepted. Used on the thread of `io`.
+/// A listener and the connections that it has accepted. Must be used on the thread of `io` only.
 class Ingress {
  public:
-  /// Gets each request, and responds to it through the connection.
+  /// Called with each request; responds through the connection.
   using Handler = std::function<void(const ClientPtr&, ClientRequest)>;
 
-  /// Opens nothing yet.
+  /// Opens no socket; Listen does.
   Ingress(boost::asio::io_context& io, Handler handler);
-  /// Listens at `address` ("host:port"). Errors: an invalid address, or those of the socket.
+  /// Listens on `address` ("host:port"). Returns std::errc::invalid_argument for an invalid address, else the
+  /// error of the socket.
   std::error_code Listen(const std::string& address);
-  /// From now on responses announce that the connection closes after them.
+  /// From now on, responses carry "Connection: close" and their connections are closed after them.
   void SetClosing() { closing_ = true; }
-  /// Accepts no more connections, and closes the idle ones.
+  /// Stops accepting connections and closes the idle ones.
   void StopListening();
-  /// Closes all connections, also with requests in progress.
+  /// Stops listening and closes all connections, including those with requests in flight.
   void CloseAll();
-  /// Limits for requests that begin from now on.
+  /// Sets the limits of requests that begin from now on.
   void SetLimits(const configuration::Limits& limits) { limits_ = limits; }
-  /// Connections on which a request is being read or answered.
+  /// Number of connections on which a request is being read or answered.
   std::size_t busy() const { return busy_; }
 
  private:
--- a/src/dataplane/upstream/upstream_exchange.cpp
+++ b/src/dataplane/upstream/upstream_exchange.cpp
@@ -18,15 +18,15 @@
 namespace beast = boost::beast;
 using std::chrono::milliseconds;
 
-// For the connection to be established; nothing was sent on it before.
+// Maximum time to establish a connection. Nothing has been sent before, so that another server can be tried.
 constexpr milliseconds kConnectTimeout{700};
-// TCP_USER_TIMEOUT: a machine that lost its power sends no reset.
+// TCP_USER_TIMEOUT; detects a machine that lost power, which sends no reset.
 constexpr int kTcpUserTimeoutMs = 4000;
 constexpr std::uint32_t kMaxHeadBytes = 64 * 1024;
-// How long a connection is kept idle if the server does not say, and the share of what it says in
-// Keep-Alive: a request must not cross with the server's close at the end of that time.
-constexpr milliseconds kDefaultIdleTime{1500};
-constexpr double kIdleShare = 0.6;
+// Time for which a connection is kept idle if the server sends no Keep-Alive timeout, and the fraction of
+// that timeout otherwise: less than all of it, so that no request races with the server's close.
+constexpr milliseconds kDefaultIdleTimeout{1500};
+constexpr double kKeepAliveFraction = 0.6;
 
 void SetOptions(asio::ip::tcp::socket& socket) {
   boost::system::error_code ignored;
@@ -35,16 +35,17 @@
   setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof limit);
 }
 
-// How long to keep the connection idle; empty if the server closes it.
-std::optional<milliseconds> IdleTime(const beast::http::response<beast::http::buffer_body>& message) {
+// Time for which the connection may be kept idle; empty if it is not persistent.
+std::optional<milliseconds> IdleTimeout(const beast::http::response<beast::http::buffer_body>& message) {
   if (!message.keep_alive()) return std::nullopt;
   const auto it = message.find(beast::http::field::keep_alive);
-  if (it == message.end()) return kDefaultIdleTime;
+  if (it == message.end()) return kDefaultIdleTimeout;
   const std::string value(it->value());
-  const std::size_t at = value.find("timeout=");
-  const std::string digits = at == std::string::npos ? value : value.substr(at + 8);
+  const std::size_t parameter = value.find("timeout=");
+  const std::string digits = parameter == std::string::npos ? value : value.substr(parameter + 8);
   const double seconds = std::strtod(digits.c_str(), nullptr);
-  return seconds <= 0 ? kDefaultIdleTime : milliseconds(static_cast<long>(seconds * 1000 * kIdleShare));
+  return seconds <= 0 ? kDefaultIdleTimeout
+                      : milliseconds(static_cast<long>(seconds * 1000 * kKeepAliveFraction));
 }
 
 }  // namespace
@@ -91,7 +92,8 @@
   asio::async_write(*socket_, asio::buffer(request_.text),
                     [self = shared_from_this()](ErrorCode error, std::size_t) {
                       if (!error) self->request_written_ = true;
-                      // A server may respond and close before it has read all: the end is left to the reader.
+                      // Write errors are ignored: a server may respond and close before it has read the whole
+                      // request. The read that is in progress detects the outcome.
                     });
   ReadHead();
 }
@@ -115,12 +117,12 @@
   head_.reason = std::string(message.reason());
   head_.fields = EndToEndFields(message);
   const std::string* id = FindField(head_.fields, field::kRequestId);
-  // The response belongs to another request, as a server may send a second one late.
+  // The response belongs to another request: a server may send a late second response.
   if (id != nullptr && *id != request_.request_id) return Finish(ExchangeEnd::kReset);
   head_.chunked = parser_->chunked();
   if (const auto length = parser_->content_length()) head_.length = *length;
   head_.bodiless = request_.head_only || head_.status == 204 || head_.status == 304;
-  // Without a length, a complete response cannot be distinguished from a truncated one.
+  // Without a length or chunks, a complete response cannot be distinguished from a truncated one.
   if (!head_.chunked && !head_.length && !head_.bodiless) return Finish(ExchangeEnd::kReset);
   const auto self = shared_from_this();
   events_.on_head(head_);
@@ -163,8 +165,8 @@
   const auto self = shared_from_this();
   connect_timer_.cancel();
   ErrorCode ignored;
-  // Bytes behind a complete response belong to no request, so that the connection cannot be reused.
-  const auto idle = end == ExchangeEnd::kComplete ? IdleTime(parser_->get()) : std::nullopt;
+  // A connection with further bytes after a complete response is not reused, as they belong to no request.
+  const auto idle = end == ExchangeEnd::kComplete ? IdleTimeout(parser_->get()) : std::nullopt;
   if (idle && request_written_ && buffer_.size() == 0)
     pool_.PutIdle(request_.instance, socket_, *idle);
   else
--- a/src/dataplane/upstream/upstream_exchange.hpp
+++ b/src/dataplane/upstream/upstream_exchange.hpp
@@ -1,4 +1,4 @@
-// The exchange of one HTTP/1.1 request and its response on a connection to a server.
+// HTTP/1.1 client side of one request and its response on a connection to a server.
 #ifndef VIOLETWING_DATAPLANE_UPSTREAM_UPSTREAM_EXCHANGE_HPP_
 #define VIOLETWING_DATAPLANE_UPSTREAM_UPSTREAM_EXCHANGE_HPP_
 
@@ -25,45 +25,47 @@
   FieldList fields;                     ///< end-to-end fields only
   std::optional<std::uint64_t> length;  ///< Content-Length
   bool chunked = false;
-  bool bodiless = false;  ///< by its status or the method of the request
+  bool bodiless = false;  ///< no body follows, due to the status or the request's method
 };
 
 /// How an exchange ended.
 enum class ExchangeEnd {
   kComplete,     ///< the complete response arrived
-  kUnreachable,  ///< no connection was established: nothing was sent
-  kNotAllowed,   ///< `may_send` refused once the connection stood: nothing was sent
-  kReset,        ///< reset or closed, or no valid response to this request
+  kUnreachable,  ///< no connection was established; nothing was sent
+  kNotAllowed,   ///< `may_send` returned false after connecting; nothing was sent
+  kReset,        ///< reset, closed early, or no valid response to this request
 };
 
 class UpstreamPool;
 
-/// One request and its response. Made by UpstreamPool::Start; it owns itself until it ends, and runs on the
-/// thread of the pool's io_context.
+/// One request and its response. Created by UpstreamPool::Start. Keeps itself alive until it ends. Runs on
+/// the thread of the pool's io_context.
 class UpstreamExchange : public std::enable_shared_from_this<UpstreamExchange> {
  public:
   /// The request to send.
   struct Request {
-    std::string instance;  ///< instance id: idle connections are reused only for the same instance
+    std::string instance;  ///< instance id; an idle connection is reused only for the same instance
     std::string address;   ///< "host:port"
     std::string request_id;
-    std::string text;        ///< head and body as they are sent
-    bool head_only = false;  ///< of method HEAD: its response has no body
-    /// Asked once, right before the first byte is written; empty: always.
+    std::string text;        ///< serialized head and body
+    bool head_only = false;  ///< the method is HEAD: the response has no body
+    /// Called once, right before the first byte is written; if it returns false, the exchange
+    /// ends with kNotAllowed. Empty: always send.
     std::function<bool()> may_send;
   };
-  /// Callbacks in the order on_head, on_data (any number), on_end (exactly once, unless cancelled).
+  /// Callbacks, in the order on_head (at most once), on_data (any number), on_end (exactly once unless
+  /// cancelled).
   struct Events {
     std::function<void(const ResponseHead&)> on_head;
     std::function<void(std::string_view data)> on_data;
     std::function<void(ExchangeEnd)> on_end;
   };
 
-  /// Closes the connection; no callback is called any more.
+  /// Closes the connection. No callback is called after this.
   void Cancel();
   /// Stops reading until Resume (backpressure).
   void Pause() { paused_ = true; }
-  /// Continues after Pause; no effect otherwise.
+  /// Resumes reading after Pause; has no effect otherwise.
   void Resume();
   /// True if part of the request may have reached the server.
   bool sent() const { return sent_; }
--- a/src/dataplane/upstream/upstream_pool.cpp
+++ b/src/dataplane/upstream/upstream_pool.cpp
@@ -22,7 +22,7 @@
   std::shared_ptr<Tcp::socket> reused = TakeIdle(request.instance);
   std::shared_ptr<UpstreamExchange> exchange(
       new UpstreamExchange(*this, std::move(request), std::move(events)));
-  // Deferred, as the caller does not have the exchange yet and events may come at once.
+  // Deferred, as callbacks must not run before the caller has the exchange.
   asio::post(io_, [exchange, reused] {
     if (!exchange->finished_) return exchange->Start(reused);
     boost::system::error_code ignored;
@@ -36,13 +36,13 @@
   if (it == idle_.end()) return nullptr;
   boost::system::error_code error;
   while (!it->second.empty()) {
-    const Idle idle = std::move(it->second.back());
+    const IdleConnection idle = std::move(it->second.back());
     it->second.pop_back();
     char byte = 0;
-    const ssize_t waiting = recv(idle.socket->native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    const bool quiet = waiting < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-    if (quiet && steady_clock::now() < idle.until) {
-      idle.socket->cancel(error);  // the wait of WatchIdle
+    const ssize_t received = recv(idle.socket->native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    const bool no_data = received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    if (no_data && steady_clock::now() < idle.expires_at) {
+      idle.socket->cancel(error);  // cancels the wait of WatchIdle
       if (it->second.empty()) idle_.erase(it);
       return idle.socket;
     }
@@ -53,18 +53,18 @@
 }
 
 void UpstreamPool::PutIdle(const std::string& instance, std::shared_ptr<Tcp::socket> socket,
-                           milliseconds idle) {
-  std::deque<Idle>& kept = idle_[instance];
+                           milliseconds idle_timeout) {
+  std::deque<IdleConnection>& connections = idle_[instance];
   boost::system::error_code ignored;
-  if (kept.size() >= kMaxIdlePerServer) {
-    kept.front().socket->close(ignored);
-    kept.pop_front();
+  if (connections.size() >= kMaxIdlePerServer) {
+    connections.front().socket->close(ignored);
+    connections.pop_front();
   }
   WatchIdle(instance, socket);
-  kept.push_back({std::move(socket), steady_clock::now() + idle});
+  connections.push_back({std::move(socket), steady_clock::now() + idle_timeout});
 }
 
-// Any event on an idle connection, data or an end, closes it.
+// Closes an idle connection on any event: unexpected data, an end or an error of the stream.
 void UpstreamPool::WatchIdle(const std::string& instance, const std::shared_ptr<Tcp::socket>& socket) {
   socket->async_wait(Tcp::socket::wait_read,
                      [this, instance, socket](const boost::system::error_code& error) {
@@ -72,7 +72,7 @@
                        const auto it = idle_.find(instance);
                        if (it == idle_.end()) return;
                        boost::system::error_code ignored;
-                       std::erase_if(it->second, [&](const Idle& idle) {
+                       std::erase_if(it->second, [&](const IdleConnection& idle) {
                          if (idle.socket != socket) return false;
                          idle.socket->close(ignored);
                          return true;
@@ -85,9 +85,9 @@
   boost::system::error_code ignored;
   const auto now = steady_clock::now();
   for (auto it = idle_.begin(); it != idle_.end();) {
-    const bool stays = is_alive(it->first);
-    std::erase_if(it->second, [&](const Idle& idle) {
-      if (stays && now < idle.until) return false;
+    const bool alive = is_alive(it->first);
+    std::erase_if(it->second, [&](const IdleConnection& idle) {
+      if (alive && now < idle.expires_at) return false;
       idle.socket->close(ignored);
       return true;
     });
--- a/src/dataplane/upstream/upstream_pool.hpp
+++ b/src/dataplane/upstream/upstream_pool.hpp
@@ -1,4 +1,4 @@
-// The pool of idle HTTP/1.1 connections to servers, from which exchanges start.
+// The pool of idle HTTP/1.1 connections to servers, on which exchanges are started.
 #ifndef VIOLETWING_DATAPLANE_UPSTREAM_UPSTREAM_POOL_HPP_
 #define VIOLETWING_DATAPLANE_UPSTREAM_UPSTREAM_POOL_HPP_
 
@@ -15,38 +15,39 @@
 
 namespace violetwing {
 
-/// Starts exchanges and keeps idle connections by server. Must outlive its exchanges.
+/// Starts exchanges and keeps idle connections for each server. Must outlive its exchanges.
 class UpstreamPool {
  public:
-  /// Everything runs on the thread of `io`.
+  /// All members and callbacks run on the thread of `io`.
   explicit UpstreamPool(boost::asio::io_context& io) : io_(io) {}
 
-  /// Starts an exchange on an idle connection, or on a new one. No callback is called before this returns.
+  /// Starts an exchange on an idle connection, or on a new one if there is none. No callback is called before
+  /// this returns.
   std::shared_ptr<UpstreamExchange> Start(UpstreamExchange::Request request, UpstreamExchange::Events events);
-  /// Closes idle connections that have expired, and those to servers for which `is_alive` is false.
+  /// Closes idle connections that have expired, and those to servers for which `is_alive` returns false.
   void CloseIdleExcept(const std::function<bool(const std::string& instance)>& is_alive);
   /// Closes all idle connections.
   void CloseAll();
-  /// True if there is an idle connection to the server; it may have been closed by its other end.
+  /// Whether there is an idle connection to the server, which the server may have closed meanwhile.
   bool HasIdle(const std::string& instance) const { return idle_.count(instance) > 0; }
-  /// Where its exchanges run.
+  /// The io_context on which the exchanges run.
   boost::asio::io_context& io() { return io_; }
 
  private:
   friend class UpstreamExchange;
   using Tcp = boost::asio::ip::tcp;
-  struct Idle {
+  struct IdleConnection {
     std::shared_ptr<Tcp::socket> socket;
-    std::chrono::steady_clock::time_point until;
+    std::chrono::steady_clock::time_point expires_at;
   };
 
   std::shared_ptr<Tcp::socket> TakeIdle(const std::string& instance);
   void PutIdle(const std::string& instance, std::shared_ptr<Tcp::socket> socket,
-               std::chrono::milliseconds idle);
+               std::chrono::milliseconds idle_timeout);
   void WatchIdle(const std::string& instance, const std::shared_ptr<Tcp::socket>& socket);
 
   boost::asio::io_context& io_;
-  std::map<std::string, std::deque<Idle>> idle_;
+  std::map<std::string, std::deque<IdleConnection>> idle_;  // by instance id; the oldest first
 };
 
 }  // namespace violetwing
--- a/src/dataplane/usage/usage_counter.hpp
+++ b/src/dataplane/usage/usage_counter.hpp
@@ -1,5 +1,5 @@
-// Counts the requests that began to run, by tenant and window, for the reports to control processes. A core:
-// it holds no clock, socket, file or thread.
+// Counts requests that began to run, by tenant and time window, for usage reports to control processes.
+// Sans-I/O: holds no clock, socket, file or thread.
 #ifndef VIOLETWING_DATAPLANE_USAGE_USAGE_COUNTER_HPP_
 #define VIOLETWING_DATAPLANE_USAGE_USAGE_COUNTER_HPP_
 
@@ -16,37 +16,40 @@
 
 namespace violetwing {
 
-/// Windows follow the true time of day as control processes tell it, not this machine's clock, which may
-/// jump. Counts are reported as they rise, and all of a window once more after its end, as a report may be
-/// lost with the process that took it. Times are in microseconds; `now` is of one steady clock. Not
-/// thread-safe.
+/// Windows follow the true time of day, which control processes send, not this machine's clock, which may
+/// jump. Counts are cumulative: they are reported when they have changed, and all counts of a window once
+/// more after its end, as a report may be lost with the control process that received it. Times are in
+/// microseconds; `now` and `began_at` are on the steady clock. Not thread-safe.
 class UsageCounter {
  public:
-  /// `reporter`: unique to this run of the sidecar. `window`: its length.
-  UsageCounter(std::string reporter, Micros window) : reporter_(std::move(reporter)), window_(window) {}
+  /// `reporter`: a name that is unique to this run of the sidecar.
+  UsageCounter(std::string reporter, Micros window_length)
+      : reporter_(std::move(reporter)), window_length_(window_length) {}
 
-  /// A control process has told the true time; its answer may have been on its way for a while.
+  /// Records the true time from a control process's response, which may have been in transit for a while.
   void OnTrueTime(Micros true_time, Micros now);
-  /// A server has begun to run a request of a tenant, at `began_at`. Ignored until the true time is known.
+  /// Counts a request of a tenant that a server began to run at `began_at`. Ignored until the true time is
+  /// known.
   void Count(const std::string& tenant, Micros began_at);
 
-  /// What is to be reported now; without a reporter if there is nothing. It counts as sent until OnFailed.
+  /// Takes the counts that are due for a report; its `reporter` is empty if there are none. The counts are
+  /// taken as delivered unless OnFailed is called.
   UsageReport TakeReport(Micros now);
-  /// A report did not reach a control process.
+  /// Schedules the counts of a report that may not have reached a control process for another report.
   void OnFailed(const UsageReport& report);
 
  private:
   using Key = std::pair<std::int64_t, std::string>;  // window, tenant
 
-  void RepeatEndedWindows(std::int64_t current, Micros true_time);
+  void ScheduleRepeats(std::int64_t current_window, Micros true_time);
 
   const std::string reporter_;
-  const Micros window_;
-  std::deque<Micros> offsets_;  // of the true time from the steady clock, by the latest answers
-  std::optional<Micros> offset_;
+  const Micros window_length_;
+  std::deque<Micros> offsets_;              // true time minus steady time, of the latest responses
+  std::optional<Micros> true_time_offset_;  // the largest of `offsets_`
   std::map<Key, std::uint64_t> counts_;
   std::set<Key> unreported_;
-  std::set<std::int64_t> repeated_;  // ended windows that were reported once more
+  std::set<std::int64_t> repeated_windows_;  // those whose report after their end was scheduled
   Micros last_report_at_ = 0;
 };
 
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -1,4 +1,5 @@
-// violetwing-node: one binary for all machines. `edge` takes clients' requests, `control` holds the state.
+// violetwing-node: one binary for both roles. `edge` serves clients' requests, `control` stores the system's
+// state.
 #include <event2/event.h>
 #include <event2/thread.h>
 #include <signal.h>
@@ -29,7 +30,7 @@
 constexpr std::chrono::seconds kSettingsPollInterval{1};
 constexpr const char* kDefaultSettings = "/etc/violetwing/settings.json";
 
-// Prints why the process ends, in one line, and returns its exit status.
+// Prints the reason for the exit on one line and returns `status`.
 int ExitWith(int status, const std::string& line) {
   std::cerr << "violetwing-node: " << line << "\n";
   return status;
@@ -40,14 +41,14 @@
   return path == nullptr ? kDefaultSettings : path;
 }
 
-// Applies what the file says now; a file that cannot be used changes nothing.
+// Applies the current settings file. An invalid file is logged and otherwise ignored.
 template <class Service>
 void Reload(Service& service) {
   const violetwing::SettingsResult read = violetwing::ReadNodeSettings(SettingsPath());
   if (const auto* settings = std::get_if<violetwing::NodeSettings>(&read))
     service.Reload(*settings);
   else
-    spdlog::warn("settings not reloaded: {}: {}", SettingsPath(),
+    spdlog::warn("settings not reloaded file={} error={}", SettingsPath(),
                  std::get<violetwing::SettingsError>(read).ToString());
 }
 
@@ -71,7 +72,7 @@
     });
   };
   await_reload();
-  // The file may change without a signal.
+  // The file may also change without a SIGHUP.
   boost::asio::steady_timer poll_timer(io);
   std::function<void()> await_poll = [&] {
     poll_timer.expires_after(kSettingsPollInterval);
@@ -93,11 +94,11 @@
   event_base* base = event_base_new();
   violetwing::ControlService service(base, settings);
   if (const auto started = service.Start(); !started) return ExitWith(kExitFailure, started.error().message);
-  const auto on_stop = [](evutil_socket_t, short, void* at) {
-    static_cast<violetwing::ControlService*>(at)->Stop();
+  const auto on_stop = [](evutil_socket_t, short, void* context) {
+    static_cast<violetwing::ControlService*>(context)->Stop();
   };
-  const auto on_reload = [](evutil_socket_t, short, void* at) {
-    Reload(*static_cast<violetwing::ControlService*>(at));
+  const auto on_reload = [](evutil_socket_t, short, void* context) {
+    Reload(*static_cast<violetwing::ControlService*>(context));
   };
   event_add(evsignal_new(base, SIGTERM, on_stop, &service), nullptr);
   event_add(evsignal_new(base, SIGINT, on_stop, &service), nullptr);
@@ -106,8 +107,8 @@
   event_add(event_new(base, -1, EV_PERSIST, on_reload, &service), &poll_interval);
   event_base_dispatch(base);
   const int status = service.failure() ? ExitWith(kExitFailure, service.failure()->message) : 0;
-  spdlog::info("control process {} stops", settings.node_name);
-  // The disk may hang: what is not written by now is not waited for.
+  spdlog::info("control process stopped node={}", settings.node_name);
+  // Exits without waiting for pending writes, as the disk may hang.
   std::_Exit(status);
 }
 
@@ -122,22 +123,23 @@
   all.add(visible).add_options()("role", options::value<std::string>());
   options::positional_options_description positional;
   positional.add("role", 1);
-  options::variables_map given;
+  options::variables_map arguments;
   try {
-    options::store(options::command_line_parser(argc, argv).options(all).positional(positional).run(), given);
-    options::notify(given);
+    options::store(options::command_line_parser(argc, argv).options(all).positional(positional).run(),
+                   arguments);
+    options::notify(arguments);
   } catch (const options::error& error) {
     return ExitWith(kExitUsage, error.what());
   }
-  if (given.count("help") > 0) {
+  if (arguments.count("help") > 0) {
     std::cout << visible;
     return 0;
   }
-  const std::string role = given.count("role") > 0 ? given["role"].as<std::string>() : "";
+  const std::string role = arguments.count("role") > 0 ? arguments["role"].as<std::string>() : "";
   if (role != "edge" && role != "control")
     return ExitWith(kExitUsage, "ROLE is edge or control; --help tells more");
   spdlog::set_default_logger(spdlog::stderr_logger_st("violetwing"));
-  spdlog::set_level(spdlog::level::from_str(given["log-level"].as<std::string>()));
+  spdlog::set_level(spdlog::level::from_str(arguments["log-level"].as<std::string>()));
   signal(SIGPIPE, SIG_IGN);
   const violetwing::SettingsResult read = violetwing::ReadNodeSettings(SettingsPath());
   if (const auto* error = std::get_if<violetwing::SettingsError>(&read))
--- a/tests/common/node_settings_test.cpp
+++ b/tests/common/node_settings_test.cpp
@@ -1,4 +1,4 @@
-// The settings file of a process: what is read, and how findings are reported.
+// Tests of parsing the settings file and of reporting its errors.
 #include "common/node_settings.hpp"
 
 #include <catch2/catch.hpp>
@@ -18,7 +18,7 @@
   CHECK(settings.grace_ms == 8000);
 }
 
-TEST_CASE("Each wrong setting is a finding with its path, and all are reported in one line") {
+TEST_CASE("Each invalid setting is a finding with its path, and all findings are reported in one line") {
   const SettingsResult read =
       ParseNodeSettings(R"({"node_name": 7, "ephemeral_ports": [5], "timeouts": {"grace_s": 0}})");
   REQUIRE(std::holds_alternative<SettingsError>(read));
@@ -28,7 +28,7 @@
   CHECK(line.find('\n') == std::string::npos);
 }
 
-TEST_CASE("Settings that are not JSON, and a file that cannot be read, are findings of the file itself") {
+TEST_CASE("Invalid JSON and an unreadable file are reported as findings of the file itself") {
   for (const SettingsResult& read : {ParseNodeSettings("{"), ReadNodeSettings("/nonexistent")}) {
     REQUIRE(std::holds_alternative<SettingsError>(read));
     REQUIRE(std::get<SettingsError>(read).findings.size() == 1);
@@ -36,18 +36,18 @@
   }
 }
 
-TEST_CASE("Settings of the platform and its duties are read, and are optional") {
+TEST_CASE("Settings of the platform's API and its leases are optional") {
   const std::string base = R"({"node_name": "n", "ip": "10.0.0.1", "seed_nodes": ["10.0.0.1:99"],
                                "ephemeral_ports": [100, 110])";
-  const SettingsResult without = ParseNodeSettings(base + "}");
-  REQUIRE(std::holds_alternative<NodeSettings>(without));
-  CHECK_FALSE(std::get<NodeSettings>(without).reports_usage);
-  const SettingsResult with = ParseNodeSettings(
+  const SettingsResult minimal = ParseNodeSettings(base + "}");
+  REQUIRE(std::holds_alternative<NodeSettings>(minimal));
+  CHECK_FALSE(std::get<NodeSettings>(minimal).reports_usage);
+  const SettingsResult extended = ParseNodeSettings(
       base +
       R"(, "cloud_api": {"address": "10.2.0.1:80", "leases": ["metering", "autoscale"], "lease_per_s": 50.0},
                 "timeouts": {"report_window_s": 2.5, "usage_delay_s": 7, "revoked_keys": true, "revoke_ms": 900}})");
-  REQUIRE(std::holds_alternative<NodeSettings>(with));
-  const auto& settings = std::get<NodeSettings>(with);
+  REQUIRE(std::holds_alternative<NodeSettings>(extended));
+  const auto& settings = std::get<NodeSettings>(extended);
   CHECK(settings.platform_address == "10.2.0.1:80");
   CHECK(settings.reports_usage);
   CHECK(settings.report_window_ms == 2500);
--- a/tests/dataplane/control_client/control_link_test.cpp
+++ b/tests/dataplane/control_client/control_link_test.cpp
@@ -1,4 +1,4 @@
-// A sidecar's link to the control plane, before a control process whose answers are changed one at a time.
+// Tests of ControlLink against a scripted control process whose replies may be invalid or outdated.
 #include "dataplane/control_client/control_link.hpp"
 
 #include <catch2/catch.hpp>
@@ -36,8 +36,8 @@
   return instance;
 }
 
-// The answer that a control process gives when nothing is wrong.
-WatchReply Good(std::int64_t version, const Instance& instance) {
+// A valid reply with one instance.
+WatchReply ValidReply(std::int64_t version, const Instance& instance) {
   WatchReply reply;
   reply.incarnation = "control";
   reply.configuration_version = version;
@@ -47,32 +47,32 @@
   return reply;
 }
 
-// A link before one control process that gives the answers of a list, one a pull.
-class Link {
+// A ControlLink whose only control process sends scripted responses, one for each watch request.
+class LinkFixture {
  public:
-  // `revoke_ms`: in which revoked keys must stop; 0: they need not.
-  explicit Link(std::int64_t revoke_ms = 0)
-      : control_(io_, [this](Peer& peer) { Answer(peer); }),
+  // `revoke_ms`: time limit for a key revocation to take effect; 0: none.
+  explicit LinkFixture(std::int64_t revoke_ms = 0)
+      : control_(io_, [this](Peer& peer) { Respond(peer); }),
         link_(io_, Settings(control_.address.port(), revoke_ms), [this](DirectoryPtr directory) {
-          if (directory->version() < version_) ++went_back_;
+          if (directory->version() < version_) ++version_decreases_;
           version_ = directory->version();
           directory_ = std::move(directory);
         }) {}
-  ~Link() { link_.Stop(); }
+  ~LinkFixture() { link_.Stop(); }
 
-  // Plays `answers` and a last one, and waits until that has been taken.
-  void Play(std::deque<std::string> answers) {
-    answers_ = std::move(answers);
+  // Sends `responses` in order, and waits until the link has processed the last one.
+  void Play(std::deque<std::string> responses) {
+    responses_ = std::move(responses);
     link_.Start();
-    RunUntil(io_, [this] { return answers_.empty() && pulls_after_ > 0; });
+    RunUntil(io_, [this] { return responses_.empty() && further_requests_ > 0; });
   }
   std::int64_t version() const { return version_; }
-  int went_back() const { return went_back_; }
+  int version_decreases() const { return version_decreases_; }
   bool HasRecentQuorumAnswer(Micros later = 0) const {
     return link_.HasRecentQuorumAnswer(SteadyMicros() + later);
   }
   bool MayTrustKeys(Micros later = 0) const { return link_.MayTrustKeys(SteadyMicros() + later); }
-  bool Serves() const { return directory_ != nullptr && directory_->Servers("s").size() == 1; }
+  bool HasReadyServer() const { return directory_ != nullptr && directory_->Servers("s").size() == 1; }
 
  private:
   static NodeSettings Settings(int port, std::int64_t revoke_ms) {
@@ -84,137 +84,140 @@
     settings.seeds = {"127.0.0.1:1"};
     return settings;
   }
-  void Answer(Peer& peer) {
-    if (answers_.empty()) {  // the last answer has been taken: the next pull has come
-      ++pulls_after_;
+  void Respond(Peer& peer) {
+    if (responses_.empty()) {  // a further watch request shows that the last response was processed
+      ++further_requests_;
       return;
     }
-    peer.Write(answers_.front());
-    answers_.pop_front();
+    peer.Write(responses_.front());
+    responses_.pop_front();
     peer.Close();
   }
 
   boost::asio::io_context io_;
-  std::deque<std::string> answers_;
+  std::deque<std::string> responses_;
   ScriptedServer control_;
   ControlLink link_;
   DirectoryPtr directory_;
   std::int64_t version_ = 0;
-  int went_back_ = 0;
-  int pulls_after_ = 0;
+  int version_decreases_ = 0;
+  int further_requests_ = 0;
 };
 
 std::string Ok(const std::string& body) { return Reply("200 OK", body); }
 std::string Ok(const WatchReply& reply) { return Ok(Encode(reply)); }
-std::string OutOfTouch() { return Reply("503 Service Unavailable", "{}\n"); }
+std::string NoQuorumResponse() { return Reply("503 Service Unavailable", "{}\n"); }
 
 constexpr Micros kSecond = 1'000'000;
 
 }  // namespace
 
 TEST_CASE("A link applies newer configurations and never goes back to an older one") {
-  Link link;
-  link.Play({Ok(Good(5, Server(Phase::kReady, 1, 1))), Ok(Good(3, Server(Phase::kReady, 2, 2))),
-             Ok(Good(5, Server(Phase::kReady, 3, 3))), Ok(Good(8, Server(Phase::kReady, 4, 4)))});
+  LinkFixture link;
+  link.Play({Ok(ValidReply(5, Server(Phase::kReady, 1, 1))), Ok(ValidReply(3, Server(Phase::kReady, 2, 2))),
+             Ok(ValidReply(5, Server(Phase::kReady, 3, 3))), Ok(ValidReply(8, Server(Phase::kReady, 4, 4)))});
   CHECK(link.version() == 8);
-  CHECK(link.went_back() == 0);
-  CHECK(link.Serves());
+  CHECK(link.version_decreases() == 0);
+  CHECK(link.HasReadyServer());
 }
 
-TEST_CASE("A watch reply with a changed or missing field has no other effects") {
-  const wire::PullReply form;
-  WatchReply good = Good(9, Server(Phase::kReady, 2, 2));
-  good.configuration_document = "{";  // so that none of these is a good answer
-  const std::string bytes = Encode(good);
-  std::vector<std::string> changed = {
+TEST_CASE("A watch reply with an invalid or missing field does not affect later replies") {
+  const wire::PullReply prototype;
+  WatchReply valid = ValidReply(9, Server(Phase::kReady, 2, 2));
+  valid.configuration_document = "{";  // so that no variant of this reply can be applied
+  const std::string bytes = Encode(valid);
+  std::vector<std::string> invalid_responses = {
       Reply("503 Service Unavailable", "{}\n"), Ok("{}"), Ok("[]"), "", "not HTTP\r\n\r\n",
       Ok(bytes.substr(0, bytes.size() / 2))};
-  for (const auto* field : testing::FieldsOf(form)) {
-    changed.push_back(Ok(testing::Without(form, field, bytes)));
-    changed.push_back(Ok(testing::WithOtherType(form, field, bytes)));
+  for (const auto* field : testing::FieldsOf(prototype)) {
+    invalid_responses.push_back(Ok(testing::Without(prototype, field, bytes)));
+    invalid_responses.push_back(Ok(testing::WithOtherType(prototype, field, bytes)));
   }
-  for (const std::string& answer : changed) {
-    INFO(answer);
-    Link link;
-    link.Play({Ok(Good(5, Server(Phase::kReady, 1, 1))), answer, Ok(Good(6, Server(Phase::kReady, 3, 3)))});
+  for (const std::string& response : invalid_responses) {
+    INFO(response);
+    LinkFixture link;
+    link.Play({Ok(ValidReply(5, Server(Phase::kReady, 1, 1))), response,
+               Ok(ValidReply(6, Server(Phase::kReady, 3, 3)))});
     CHECK(link.version() == 6);
-    CHECK(link.went_back() == 0);
-    CHECK(link.Serves());
+    CHECK(link.version_decreases() == 0);
+    CHECK(link.HasReadyServer());
   }
 }
 
-TEST_CASE("A patch that names an item by an invalid name is ignored") {
-  WatchReply odd = Good(6, Server(Phase::kReady, 2, 2));
-  odd.configuration_document.clear();
-  odd.configuration_patches = {R"({"version":6,"delete":{"routes":[7]}})"};
-  Link link;
-  link.Play({Ok(Good(5, Server(Phase::kReady, 1, 1))), Ok(odd), Ok(Good(7, Server(Phase::kReady, 3, 3)))});
+TEST_CASE("A patch that refers to an item by an invalid name is ignored") {
+  WatchReply invalid = ValidReply(6, Server(Phase::kReady, 2, 2));
+  invalid.configuration_document.clear();
+  invalid.configuration_patches = {R"({"version":6,"delete":{"routes":[7]}})"};
+  LinkFixture link;
+  link.Play({Ok(ValidReply(5, Server(Phase::kReady, 1, 1))), Ok(invalid),
+             Ok(ValidReply(7, Server(Phase::kReady, 3, 3)))});
   CHECK(link.version() == 7);
-  CHECK(link.went_back() == 0);
+  CHECK(link.version_decreases() == 0);
 }
 
 TEST_CASE("A draining server is not made ready again by an older watch reply") {
-  Link link;
-  link.Play({Ok(Good(5, Server(Phase::kReady, 4, 1))), Ok(Good(5, Server(Phase::kDraining, 3, 2))),
-             Ok(Good(5, Server(Phase::kReady, 5, 3)))});
-  CHECK_FALSE(link.Serves());
+  LinkFixture link;
+  link.Play({Ok(ValidReply(5, Server(Phase::kReady, 4, 1))),
+             Ok(ValidReply(5, Server(Phase::kDraining, 3, 2))),
+             Ok(ValidReply(5, Server(Phase::kReady, 5, 3)))});
+  CHECK_FALSE(link.HasReadyServer());
 }
 
-TEST_CASE("A full list replaces that of another control process, but keeps servers draining") {
-  WatchReply whole = Good(5, Server(Phase::kReady, 3, 1));
-  whole.incarnation = "another";
-  whole.complete = true;
-  Link lost;
-  lost.Play({Ok(Good(5, Server(Phase::kLost, 4, 1))), Ok(whole)});
-  CHECK(lost.Serves());
-  Link leaving;
-  leaving.Play({Ok(Good(5, Server(Phase::kDraining, 4, 1))), Ok(whole)});
-  CHECK_FALSE(leaving.Serves());
+TEST_CASE("A full list replaces that of another control process, but draining servers stay draining") {
+  WatchReply full_list = ValidReply(5, Server(Phase::kReady, 3, 1));
+  full_list.incarnation = "another";
+  full_list.complete = true;
+  LinkFixture after_loss;
+  after_loss.Play({Ok(ValidReply(5, Server(Phase::kLost, 4, 1))), Ok(full_list)});
+  CHECK(after_loss.HasReadyServer());
+  LinkFixture after_drain;
+  after_drain.Play({Ok(ValidReply(5, Server(Phase::kDraining, 4, 1))), Ok(full_list)});
+  CHECK_FALSE(after_drain.HasReadyServer());
 }
 
-TEST_CASE(
-    "DENIED: a link is in touch from the first answer of a control process on, for 1.5 s without another") {
-  Link refused;
-  CHECK_FALSE(refused.HasRecentQuorumAnswer());
-  refused.Play({OutOfTouch()});
-  CHECK_FALSE(refused.HasRecentQuorumAnswer());
-  Link link;
-  link.Play({Ok(Good(5, Server(Phase::kReady, 1, 1)))});
+TEST_CASE("DENIED: a link has a recent quorum answer for 1.5 s after each successful watch reply") {
+  LinkFixture without_quorum;
+  CHECK_FALSE(without_quorum.HasRecentQuorumAnswer());
+  without_quorum.Play({NoQuorumResponse()});
+  CHECK_FALSE(without_quorum.HasRecentQuorumAnswer());
+  LinkFixture link;
+  link.Play({Ok(ValidReply(5, Server(Phase::kReady, 1, 1)))});
   CHECK(link.HasRecentQuorumAnswer());
   CHECK_FALSE(link.HasRecentQuorumAnswer(1'500'000));
 }
 
 TEST_CASE(
-    "DENIED: an answer that tells of a configuration and does not bring it is no proof of being in touch") {
-  WatchReply deferred = Good(6, Server(Phase::kReady, 1, 1));
+    "DENIED: a watch reply that announces a newer configuration without sending it does not count as a "
+    "recent quorum answer") {
+  WatchReply deferred = ValidReply(6, Server(Phase::kReady, 1, 1));
   deferred.configuration_document.clear();
-  Link link;
+  LinkFixture link;
   link.Play({Ok(deferred)});
   CHECK_FALSE(link.HasRecentQuorumAnswer());
 }
 
-TEST_CASE("CONFIG: keys that may be revoked are trusted for less than their bound after an answer") {
-  Link link(5000);
+TEST_CASE("CONFIG: with a revocation limit, keys are trusted for less than that limit after a watch reply") {
+  LinkFixture link(5000);
   CHECK_FALSE(link.MayTrustKeys());
-  CHECK_FALSE(link.MayTrustKeys(-SteadyMicros()));  // on a machine that has just started
-  link.Play({Ok(Good(5, Server(Phase::kReady, 1, 1)))});
+  CHECK_FALSE(link.MayTrustKeys(-SteadyMicros()));  // at steady time 0, as on a machine that has just booted
+  link.Play({Ok(ValidReply(5, Server(Phase::kReady, 1, 1)))});
   CHECK(link.MayTrustKeys());
   CHECK(link.MayTrustKeys(2 * kSecond));
-  CHECK_FALSE(link.MayTrustKeys(5 * kSecond - 900'000));  // what was answered may have been that old
+  CHECK_FALSE(link.MayTrustKeys(5 * kSecond - 900'000));  // a reply may reflect state of that age
 }
 
-TEST_CASE("CONFIG: keys that cannot be revoked at once are trusted without an answer") {
-  const Link link;
+TEST_CASE("CONFIG: without a revocation limit, keys are trusted without any watch reply") {
+  const LinkFixture link;
   CHECK(link.MayTrustKeys());
   CHECK(link.MayTrustKeys(100 * kSecond));
 }
 
 TEST_CASE("A duplicated watch reply is applied once") {
-  Link link;
-  const std::string answer = Ok(Good(5, Server(Phase::kReady, 1, 1)));
-  link.Play({answer, answer, answer});
+  LinkFixture link;
+  const std::string response = Ok(ValidReply(5, Server(Phase::kReady, 1, 1)));
+  link.Play({response, response, response});
   CHECK(link.version() == 5);
-  CHECK(link.Serves());
+  CHECK(link.HasReadyServer());
 }
 
 }  // namespace violetwing
--- a/tests/dataplane/dataplane_test.cpp
+++ b/tests/dataplane/dataplane_test.cpp
@@ -1,4 +1,5 @@
-// A request's way through the sidecar, over real connections whose order each test forces.
+// Tests of request handling in the sidecar, from the client's connection to the server's, over real
+// connections in an order that each test controls.
 #include <catch2/catch.hpp>
 
 #include "dataplane/ingress/ingress.hpp"
@@ -28,7 +29,7 @@
    "backend": "s", "max_attempts": 1}],
   "backends": [{"name": "s", "health_check": "/healthz", "max_connections": 100}]})";
 
-// A model that takes 1.5 s to load, and clients who wait 2 s for the first event of a stream.
+// Models that take 1.5 s and 1.8 s to load, and clients that wait 2 s for the first event of a stream.
 constexpr const char* kModelConfiguration = R"({"version": 1, "routes": [
   {"name": "stream", "hostname": "a.example", "path_prefix": "/stream/", "type": "streaming", "timeout_ms": 3000,
    "target_latency_ms": 400, "gap_aim_ms": 200, "backend": "llm", "max_attempts": 1}],
@@ -36,7 +37,7 @@
    "models": [{"name": "m", "weights_mb": 10, "load_time_s": 1.5}, {"name": "slow", "weights_mb": 10, "load_time_s": 1.8}],
    "weights_mb": 100, "loads_per_s": 1}}]})";
 
-// A tenant with one key, and the same with another one in its place.
+// A tenant with one API key, and the same tenant with that key replaced by another one.
 constexpr const char* kTenantConfiguration = R"({"version": 1, "routes": [
   {"name": "once", "hostname": "a.example", "path_prefix": "/once/", "type": "non_idempotent", "timeout_ms": 5000,
    "target_latency_ms": 300, "backend": "s", "max_attempts": 1},
@@ -51,15 +52,15 @@
 const std::string kNotExecuted = "X-Violetwing-Not-Executed: 1\r\n";
 const std::string kSigned = "X-Violetwing-Response-Signature: sig\r\nX-Violetwing-Request-Id: r1\r\n";
 
-std::string RequestTo(const std::string& path, const std::string& more = "",
+std::string RequestTo(const std::string& path, const std::string& extra_fields = "",
                       const std::string& body = "hello") {
   return "POST " + path +
          " HTTP/1.1\r\nHost: a.example\r\nX-Violetwing-Request-Id: r1\r\n"
          "X-Violetwing-Deadline-Ms: 4000\r\nContent-Length: " +
-         std::to_string(body.size()) + "\r\n" + more + "\r\n" + body;
+         std::to_string(body.size()) + "\r\n" + extra_fields + "\r\n" + body;
 }
 
-// A sidecar without a control plane: its directory is set by the test.
+// A sidecar without a control plane. The test sets its directory.
 class Sidecar {
  public:
   Sidecar()
@@ -74,18 +75,18 @@
         ingress(io, [this](const ClientPtr& client, ClientRequest request) {
           std::make_shared<RequestRouter>(plane, client, std::move(request))->Start();
         }) {
-    boost::asio::ip::tcp::acceptor free(io, {boost::asio::ip::make_address("127.0.0.1"), 0});
-    endpoint = free.local_endpoint();
-    free.close();
+    boost::asio::ip::tcp::acceptor port_finder(io, {boost::asio::ip::make_address("127.0.0.1"), 0});
+    endpoint = port_finder.local_endpoint();
+    port_finder.close();
     REQUIRE_FALSE(ingress.Listen("127.0.0.1:" + std::to_string(endpoint.port())));
   }
   ~Sidecar() {
     ingress.CloseAll();
     plane.pool.CloseAll();
     io.restart();
-    io.poll();  // what the closing has left to do
+    io.poll();  // runs the handlers that closing has posted
   }
-  // `phases`: of the servers in their order; those without one are ready.
+  // `phases`: those of the servers, in the same order; servers without one are ready.
   void SetServers(const std::vector<const ScriptedServer*>& servers,
                   const char* configuration = kConfiguration, const std::vector<Phase>& phases = {}) {
     std::map<std::string, Instance> instances;
@@ -101,13 +102,13 @@
     plane.directory =
         std::make_shared<const Directory>(configuration::Read(configuration).configuration, instances, 0, 1);
   }
-  // The client's side of a new connection on which `text` is sent.
+  // Sends `text` on a new connection and returns its client side.
   std::shared_ptr<Peer> SendRequest(const std::string& text) {
     auto client = Connect(io, endpoint);
     client->Write(text);
     return client;
   }
-  // A directory with a backend for models whose one server has loaded `models`.
+  // Sets a directory with a model backend whose only server has loaded `models`.
   void SetModelServer(const ScriptedServer& server, const std::vector<HeldModel>& models) {
     Instance instance;
     instance.id = "i-0";
@@ -133,16 +134,16 @@
   return peer->received.find(text) != std::string::npos;
 }
 
-// Answers each request on each connection with the same text.
-std::function<void(Peer&)> AlwaysRespond(const std::string& answer) {
-  return [answer](Peer& peer) { peer.Write(answer); };
+// Sends the same response to each request.
+std::function<void(Peer&)> AlwaysRespond(const std::string& response) {
+  return [response](Peer& peer) { peer.Write(response); };
 }
 
 }  // namespace
 
 TEST_CASE(
-    "A complete response is forwarded unchanged, and the server gets its expected instance and the time "
-    "left") {
+    "A complete response is forwarded unchanged, and the server gets its expected instance and the remaining "
+    "time") {
   Sidecar sidecar;
   ScriptedServer server(sidecar.io, AlwaysRespond(Reply("200 OK", "bytes", kSigned + "X-Other: kept\r\n")));
   sidecar.SetServers({&server});
@@ -168,12 +169,14 @@
   CHECK(Received(early, "HTTP/1.1 503"));
   CHECK(Received(early, "Retry-After"));
   sidecar.SetServers({});
-  const auto lost = sidecar.SendRequest(RequestTo("/nowhere/"));
-  REQUIRE(sidecar.Until([&] { return Received(lost, "\r\n\r\n"); }));
-  CHECK(Received(lost, "HTTP/1.1 404"));
+  const auto unrouted = sidecar.SendRequest(RequestTo("/nowhere/"));
+  REQUIRE(sidecar.Until([&] { return Received(unrouted, "\r\n\r\n"); }));
+  CHECK(Received(unrouted, "HTTP/1.1 404"));
 }
 
-TEST_CASE("UNASKED: a server gets the tenant of the client's key, never the key or the client's own claim") {
+TEST_CASE(
+    "UNASKED: a server gets the tenant of the client's key, but neither the key nor a tenant that the client "
+    "names") {
   Sidecar sidecar;
   ScriptedServer server(sidecar.io, AlwaysRespond(Reply("200 OK", "bytes", kSigned)));
   sidecar.SetServers({&server}, kTenantConfiguration);
@@ -201,7 +204,7 @@
   REQUIRE(sidecar.Until([&] { return Received(open, "bytes"); }));
 }
 
-TEST_CASE("ROUTE: a key in a trailer is no key") {
+TEST_CASE("ROUTE: an API key in a trailer is ignored") {
   Sidecar sidecar;
   ScriptedServer server(sidecar.io, AlwaysRespond(Reply("200 OK", "bytes", kSigned)));
   sidecar.SetServers({&server}, kTenantConfiguration);
@@ -214,9 +217,9 @@
   CHECK(server.requests() == 0);
 }
 
-TEST_CASE("CONFIG: the second of two pipelined requests is refused once its key was revoked in between") {
+TEST_CASE("CONFIG: the second of two pipelined requests is rejected if its key was revoked in between") {
   Sidecar sidecar;
-  ScriptedServer server(sidecar.io, [](Peer&) {});  // answers when the test says so
+  ScriptedServer server(sidecar.io, [](Peer&) {});  // the test sends the response
   sidecar.SetServers({&server}, kTenantConfiguration);
   const std::string request = RequestTo("/once/", "Authorization: Bearer key-a\r\n");
   const auto client = sidecar.SendRequest(request + request);
@@ -255,7 +258,7 @@
   CHECK(full.requests() == 1);
 }
 
-TEST_CASE("A rejection that does not promise non-execution is not forwarded as such a promise") {
+TEST_CASE("A rejection without the not-executed header becomes an unsigned 502") {
   Sidecar sidecar;
   ScriptedServer failing(sidecar.io, AlwaysRespond(Reply("503 Service Unavailable", "x", kSigned)));
   sidecar.SetServers({&failing});
@@ -265,7 +268,7 @@
   CHECK_FALSE(Received(client, "Signature"));
 }
 
-TEST_CASE("A 421 of a wrong instance means not executed, and is not forwarded to the client") {
+TEST_CASE("A 421 from a wrong instance counts as not executed and is not forwarded to the client") {
   Sidecar sidecar;
   ScriptedServer other(sidecar.io, AlwaysRespond(Reply("421 Misdirected Request", "", kSigned)));
   sidecar.SetServers({&other});
@@ -323,7 +326,7 @@
   CHECK_FALSE(Received(client, "old"));
 }
 
-TEST_CASE("Bytes behind a complete response are discarded") {
+TEST_CASE("Bytes after a complete response are discarded") {
   Sidecar sidecar;
   ScriptedServer server(sidecar.io,
                         AlwaysRespond(Reply("200 OK", "bytes", kSigned) + Reply("200 OK", "extra", kSigned)));
@@ -332,7 +335,7 @@
   REQUIRE(sidecar.Until([&] { return Received(client, "bytes"); }));
   client->Write(RequestTo("/once/"));
   REQUIRE(sidecar.Until([&] { return server.requests() == 2; }));
-  CHECK(server.peers.size() == 2);  // the first connection was not used again
+  CHECK(server.peers.size() == 2);  // the first connection was not reused
   CHECK_FALSE(Received(client, "extra"));
 }
 
@@ -414,7 +417,7 @@
   CHECK(Received(after, "Connection: close"));
   CHECK(Received(after, "whole"));
   server.peers[0]->Write("0\r\n\r\n");
-  // At once, and not when an idle connection's time of 15 s is over.
+  // Closed at once rather than after the idle timeout of 15 s.
   REQUIRE(RunUntil(
       sidecar.io, [&] { return before->ended; }, 5s));
   CHECK(Received(before, "\r\n0\r\n\r\n"));
@@ -452,7 +455,8 @@
 }
 
 TEST_CASE(
-    "DRAIN: a request that waits for its connection is not sent once its server has announced to leave") {
+    "DRAIN: a request that waits for its connection is not sent to a server that started draining "
+    "meanwhile") {
   const bool has_idle_connection = GENERATE(false, true);
   Sidecar sidecar;
   ScriptedServer leaves(sidecar.io, AlwaysRespond(Reply("200 OK", "leaves", kSigned)));
@@ -470,24 +474,24 @@
   CHECK(leaves.requests() == before);
 }
 
-TEST_CASE("A request waits for a model that can load in time, else it is rejected at once") {
+TEST_CASE("A request waits for a model that can load in time; otherwise it is rejected at once") {
   Sidecar sidecar;
   ScriptedServer server(sidecar.io, AlwaysRespond(Reply("200 OK", "bytes", kSigned)));
   sidecar.SetModelServer(server, {});
-  const auto ask = [&](const std::string& model) {
+  const auto send = [&](const std::string& model) {
     return sidecar.SendRequest(
         "POST /stream/a HTTP/1.1\r\nHost: a.example\r\nX-Violetwing-Request-Id: r1\r\n"
         "X-Violetwing-Deadline-Ms: 3000\r\nContent-Length: 0\r\nX-Violetwing-Model: " +
         model + "\r\n\r\n");
   };
-  const auto held = ask("m");
+  const auto waiting = send("m");
   REQUIRE(sidecar.Until([&] { return !sidecar.plane.waiting_for_model.empty(); }));
-  const auto refused = ask("slow");
-  REQUIRE(sidecar.Until([&] { return Received(refused, "503"); }));
-  CHECK(Received(refused, "Retry-After"));
-  CHECK(held->received.empty());
+  const auto rejected = send("slow");
+  REQUIRE(sidecar.Until([&] { return Received(rejected, "503"); }));
+  CHECK(Received(rejected, "Retry-After"));
+  CHECK(waiting->received.empty());
   sidecar.SetModelServer(server, {{"m", 1, {}}});
-  REQUIRE(sidecar.Until([&] { return Received(held, "bytes"); }));
+  REQUIRE(sidecar.Until([&] { return Received(waiting, "bytes"); }));
 }
 
 }  // namespace violetwing
--- a/tests/dataplane/directory/directory_test.cpp
+++ b/tests/dataplane/directory/directory_test.cpp
@@ -1,4 +1,4 @@
-// Snapshots of configuration and servers.
+// Tests of Directory.
 #include "dataplane/directory/directory.hpp"
 
 #include <catch2/catch.hpp>
@@ -27,7 +27,7 @@
   CHECK(after.sidecar_index() == 1);
 }
 
-TEST_CASE("Servers are found by the model, and by the adapter, that they have loaded") {
+TEST_CASE("Servers are found by the model and adapter that they have loaded") {
   const Directory directory = testing::ModelServers(10, 0, 1);
   CHECK(directory.ServersWithModel("s", "m", "").size() == 10);
   CHECK(directory.ServersWithModel("s", "m", "a1").size() == 3);
--- a/tests/dataplane/directory/route_table_test.cpp
+++ b/tests/dataplane/directory/route_table_test.cpp
@@ -1,4 +1,4 @@
-// Routes by host and path.
+// Tests of RouteTable.
 #include "dataplane/directory/route_table.hpp"
 
 #include <catch2/catch.hpp>
--- a/tests/dataplane/usage/usage_counter_test.cpp
+++ b/tests/dataplane/usage/usage_counter_test.cpp
@@ -1,4 +1,4 @@
-// Counting requests by tenant and window at a sidecar.
+// Tests of UsageCounter.
 #include "dataplane/usage/usage_counter.hpp"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kWindow = 5 * kSecond;
-constexpr Micros kTrueTime = 1'000 * kSecond;  // at steady time 10 s, the beginning of window 200
+constexpr Micros kTrueTime = 1'000 * kSecond;  // the start of window 200, at steady time 10 s
 
 UsageCounter CounterAt(Micros true_time) {
   UsageCounter counter("edge/1", kWindow);
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("Requests are counted in the window of the true time, and reported as they rise") {
+TEST_CASE("Requests are counted in the window of the true time, and reported when counts have changed") {
   UsageCounter counter = CounterAt(kTrueTime);
   counter.Count("t", 11 * kSecond);
   counter.Count("t", 14'999'999);
@@ -31,7 +31,7 @@
   CHECK(report.counts[1].count == 1);
 }
 
-TEST_CASE("A report that failed is repeated, one that arrived is not") {
+TEST_CASE("A failed report is repeated, a delivered one is not") {
   UsageCounter counter = CounterAt(kTrueTime);
   counter.Count("t", 11 * kSecond);
   const UsageReport first = counter.TakeReport(11 * kSecond);
@@ -51,9 +51,9 @@
   CHECK(counter.TakeReport(18 * kSecond).counts.empty());
 }
 
-TEST_CASE("The answer that was on its way for the shortest time gives the true time") {
+TEST_CASE("The response with the shortest transit time determines the true time") {
   UsageCounter counter = CounterAt(kTrueTime);
-  counter.OnTrueTime(kTrueTime + kSecond, 13 * kSecond);  // two seconds on its way
+  counter.OnTrueTime(kTrueTime + kSecond, 13 * kSecond);  // two seconds in transit
   counter.Count("t", 14 * kSecond);
   CHECK(counter.TakeReport(14 * kSecond).counts[0].window == 200);
 }
--- a/tests/node/processes_test.cpp
+++ b/tests/node/processes_test.cpp
@@ -1,4 +1,4 @@
-// Real processes on loopback: three that hold the state, one sidecar, and a stand-in for a server.
+// Tests with real processes on loopback: three control processes, one sidecar, and a scripted server.
 #include <unistd.h>
 
 #include <algorithm>
@@ -25,7 +25,7 @@
 
 constexpr int kControls = 3;
 
-struct Answered {
+struct HttpResponse {
   int status = 0;
   std::string body;
 };
@@ -34,9 +34,9 @@
  public:
   System() {
     char name[] = "/tmp/violetwing-node-XXXXXX";
-    folder_ = mkdtemp(name);
+    directory_ = mkdtemp(name);
     const auto base = static_cast<int>(20000 + getpid() * 25 % 20000);
-    // Processes of other tests may use the ports beside it: each machine has an address of its own.
+    // Each simulated machine has its own address, as processes of other tests may use neighboring ports.
     for (int i = 0; i < kControls; ++i) {
       const std::string ip = "127.0.7." + std::to_string(11 + i);
       controls_.push_back(ip + ":" + std::to_string(base));
@@ -48,7 +48,7 @@
     processes.clear();
     edge.reset();
     std::error_code ignored;
-    fs::remove_all(folder_, ignored);
+    fs::remove_all(directory_, ignored);
   }
 
   json Settings(const std::string& name, const std::string& ip) const {
@@ -66,18 +66,18 @@
     json settings = Settings("control-" + std::to_string(i), "127.0.7." + std::to_string(11 + i));
     settings["listeners_addr"] = {{"control_plane", controls_[static_cast<std::size_t>(i)]}};
     processes.push_back(
-        std::make_unique<NodeProcess>(folder_ / ("control-" + std::to_string(i)), "control", settings));
+        std::make_unique<NodeProcess>(directory_ / ("control-" + std::to_string(i)), "control", settings));
   }
   void StartEdge() {
     json settings = Settings("edge-0", "127.0.7.21");
     ingress = "127.0.7.21:" + std::to_string(internal_port_ + 20);
     readiness = "127.0.7.21:" + std::to_string(internal_port_ + 21);
     settings["listeners_addr"] = {{"ingress", ingress}, {"readiness", readiness}};
-    edge = std::make_unique<NodeProcess>(folder_ / "edge-0", "edge", settings);
+    edge = std::make_unique<NodeProcess>(directory_ / "edge-0", "edge", settings);
   }
 
-  Answered Call(const std::string& address, const std::string& method, const std::string& target,
-                const std::string& body = "", const std::string& more = "") {
+  HttpResponse Call(const std::string& address, const std::string& method, const std::string& target,
+                    const std::string& body = "", const std::string& extra_fields = "") {
     auto peer = std::make_shared<Peer>(boost::asio::ip::tcp::socket(io));
     boost::system::error_code error;
     peer->socket.connect(*ParseEndpoint(address), error);
@@ -85,7 +85,7 @@
     peer->Read();
     peer->Write(method + " " + target +
                 " HTTP/1.1\r\nHost: a.example\r\nConnection: close\r\nContent-Length: " +
-                std::to_string(body.size()) + "\r\n" + more + "\r\n" + body);
+                std::to_string(body.size()) + "\r\n" + extra_fields + "\r\n" + body);
     RunUntil(
         io, [&] { return peer->ended; }, std::chrono::seconds(5));
     const std::size_t head = peer->received.find("\r\n\r\n");
@@ -106,9 +106,10 @@
         .dump();
   }
   static std::string IfMatch(std::int64_t base) { return "If-Match: " + std::to_string(base) + "\r\n"; }
-  // Sends the same change to one process after the other until it is acknowledged, as the operator does.
+  // Sends the same change to the control processes in turn until one accepts or rejects it, as the operator
+  // does.
   int Configure(std::int64_t version, std::int64_t base, int except = -1) {
-    Answered last;
+    HttpResponse last;
     RunUntil(io, [&] {
       next_ = (next_ + 1) % kControls;
       if (next_ == except) return false;
@@ -118,8 +119,8 @@
     });
     return last.status;
   }
-  // Sends a change to one process and waits for nothing.
-  std::shared_ptr<Peer> Begin(int at, std::int64_t version, std::int64_t base) {
+  // Sends a change to one control process without waiting for the response.
+  std::shared_ptr<Peer> SendChange(int at, std::int64_t version, std::int64_t base) {
     auto peer = std::make_shared<Peer>(boost::asio::ip::tcp::socket(io));
     boost::system::error_code error;
     peer->socket.connect(*ParseEndpoint(controls_[static_cast<std::size_t>(at)]), error);
@@ -135,13 +136,13 @@
                     {"phase", "ready"}, {"sequence", sequence}};
     return Call(controls_[static_cast<std::size_t>(at)], "PUT", "/api/instances/i-1", body.dump()).status;
   }
-  std::int64_t ReadVersion(int at) {
-    const Answered answer = Call(controls_[static_cast<std::size_t>(at)], "GET", "/api/configuration");
-    return answer.status == 200 ? json::parse(answer.body).at("version").get<std::int64_t>() : -1;
+  std::int64_t GetVersion(int at) {
+    const HttpResponse response = Call(controls_[static_cast<std::size_t>(at)], "GET", "/api/configuration");
+    return response.status == 200 ? json::parse(response.body).at("version").get<std::int64_t>() : -1;
   }
 
-  fs::path StoreOf(int at) const {
-    return folder_ / ("control-" + std::to_string(at)) / "data" / "control.db";
+  fs::path StorePath(int at) const {
+    return directory_ / ("control-" + std::to_string(at)) / "data" / "control.db";
   }
 
   boost::asio::io_context io;
@@ -151,7 +152,7 @@
   std::string readiness;
 
  private:
-  fs::path folder_;
+  fs::path directory_;
   std::vector<std::string> controls_;
   int internal_port_ = 0;
   int next_ = 0;
@@ -159,16 +160,17 @@
 
 }  // namespace
 
-TEST_CASE("Three control processes and a sidecar: a change, the owner's end, the next change, a request") {
+TEST_CASE(
+    "Changes and requests succeed while each of three control processes is killed and restarted in turn") {
   System system;
   system.StartEdge();
   ScriptedServer server(system.io, [](Peer& peer) { peer.Write(Reply("200 OK", "bytes")); });
-  // It answers before it knows anything, and does not call itself ready.
+  // The sidecar responds to probes, but is unready without a configuration.
   REQUIRE(
       RunUntil(system.io, [&] { return system.Call(system.readiness, "GET", "/api/readyz").status != 0; }));
   CHECK(system.Call(system.readiness, "GET", "/api/readyz").status == 503);
   REQUIRE(system.Configure(3, 0) == 200);
-  CHECK(system.Configure(3, 0) == 200);  // the same change is acknowledged once more
+  CHECK(system.Configure(3, 0) == 200);  // a repeated change is acknowledged again
   CHECK(system.Configure(4, 0) == 412);
   std::int64_t sequence = 0;
   REQUIRE(RunUntil(system.io, [&] { return system.Register(server, ++sequence, 0) == 200; }));
@@ -178,7 +180,7 @@
     system.Register(server, ++sequence, 1);
     return system.Call(system.ingress, "GET", "/x/1").body == "bytes";
   }));
-  // Each of them ends once, the owner of each shard among them, and the others take the next change.
+  // Kills each control process once, and so the owner of each shard. The others accept the next change.
   std::int64_t version = 3;
   for (int i = 0; i < kControls; ++i) {
     INFO("control process " << i);
@@ -190,35 +192,34 @@
       return system.Call(system.ingress, "GET", "/x/1").body == "bytes";
     }));
     system.processes[static_cast<std::size_t>(i)]->Start();
-    REQUIRE(RunUntil(system.io, [&] { return system.ReadVersion(i) == version; }));
+    REQUIRE(RunUntil(system.io, [&] { return system.GetVersion(i) == version; }));
   }
   CHECK(system.edge->Stop() == 0);
   for (const auto& process : system.processes) CHECK(process->Stop() == 0);
 }
 
-// The process is killed at once, or so many calls of others later that the change is at another of its
-// stages.
-TEST_CASE("A control process is killed while it takes a change, which is acknowledged and lost nowhere") {
+// In round N the kill follows N calls to another process, so that it hits the change at different stages.
+TEST_CASE("A change is acknowledged and not lost if the control process that received it is killed") {
   System system;
   std::int64_t version = 3;
   REQUIRE(system.Configure(version, 0) == 200);
   for (int round = 0; round < 9; ++round) {
-    const int taker = round % kControls;
+    const int receiver = round % kControls;
     INFO("round " << round);
-    const auto change = system.Begin(taker, version + 2, version);
-    for (int call = 0; call < round; ++call) system.ReadVersion((taker + 1) % kControls);
-    system.processes[static_cast<std::size_t>(taker)]->Kill();
-    REQUIRE(system.Configure(version + 2, version, taker) == 200);
-    CHECK(system.Configure(version + 3, version, taker) == 412);
+    const auto change = system.SendChange(receiver, version + 2, version);
+    for (int call = 0; call < round; ++call) system.GetVersion((receiver + 1) % kControls);
+    system.processes[static_cast<std::size_t>(receiver)]->Kill();
+    REQUIRE(system.Configure(version + 2, version, receiver) == 200);
+    CHECK(system.Configure(version + 3, version, receiver) == 412);
     version += 2;
-    system.processes[static_cast<std::size_t>(taker)]->Start();
+    system.processes[static_cast<std::size_t>(receiver)]->Start();
     for (int i = 0; i < kControls; ++i)
-      CHECK(RunUntil(system.io, [&] { return system.ReadVersion(i) == version; }));
+      CHECK(RunUntil(system.io, [&] { return system.GetVersion(i) == version; }));
   }
 }
 
-// A process that loads a snapshot does so before anything has asked it, whatever is parked or waits there.
-TEST_CASE("After more changes than a log keeps, a process starts from its snapshot") {
+// Guards against a process that fails because it loads its snapshot at startup, before any request waits.
+TEST_CASE("After more changes than the log retains, a process starts from its snapshot") {
   System system;
   std::int64_t version = 1;
   REQUIRE(system.Configure(version, 0) == 200);
@@ -226,20 +227,21 @@
   for (const auto& process : system.processes) process->Kill();
   for (const auto& process : system.processes) process->Start();
   for (int i = 0; i < kControls; ++i)
-    CHECK(RunUntil(system.io, [&] { return system.ReadVersion(i) == version; }));
+    CHECK(RunUntil(system.io, [&] { return system.GetVersion(i) == version; }));
   CHECK(system.Configure(version + 1, version) == 200);
   for (const auto& process : system.processes) CHECK(process->Stop() == 0);
 }
 
-// It would vote without what it has promised.
-TEST_CASE("A control process whose store cannot be read ends with status 1 and one line; the others go on") {
+// A process that started without its stored term and vote could vote twice in a term.
+TEST_CASE(
+    "A control process with a corrupt store exits with status 1 and one log line; the others continue") {
   System system;
   REQUIRE(system.Configure(3, 0) == 200);
   NodeProcess& damaged = *system.processes[0];
   damaged.Kill();
   constexpr std::size_t kBytes = 8192;
-  std::ofstream(system.StoreOf(0), std::ios::binary) << std::string(kBytes, 'x');
-  fs::remove(system.StoreOf(0).string() + "-wal");  // the pages in it would be read in place of the file's
+  std::ofstream(system.StorePath(0), std::ios::binary) << std::string(kBytes, 'x');
+  fs::remove(system.StorePath(0).string() + "-wal");  // its pages would be read instead of those of the file
   const NodeProcess::Ended ended = damaged.StartAndAwaitEnd();
   CHECK(ended.status == 1);
   CHECK(std::count(ended.log.begin(), ended.log.end(), '\n') == 1);
@@ -247,13 +249,13 @@
   CHECK(system.Configure(5, 3, /*except=*/0) == 200);
 }
 
-TEST_CASE("All control processes end at once and have all that was acknowledged when they are back") {
+TEST_CASE("Acknowledged changes survive a simultaneous kill of all control processes") {
   System system;
   REQUIRE(system.Configure(3, 0) == 200);
   REQUIRE(system.Configure(7, 3) == 200);
   for (const auto& process : system.processes) process->Kill();
   for (const auto& process : system.processes) process->Start();
-  for (int i = 0; i < kControls; ++i) CHECK(RunUntil(system.io, [&] { return system.ReadVersion(i) == 7; }));
+  for (int i = 0; i < kControls; ++i) CHECK(RunUntil(system.io, [&] { return system.GetVersion(i) == 7; }));
 }
 
 }  // namespace violetwing
--- a/tests/testing/catch_main.cpp
+++ b/tests/testing/catch_main.cpp
@@ -1,3 +1,3 @@
-// Entry point of the tests of the router and placer.
+// Entry point of the tests of violetwing-node, its router and placer.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
--- a/tests/testing/node_process.hpp
+++ b/tests/testing/node_process.hpp
@@ -1,5 +1,5 @@
-// Starts and ends processes of the system for tests and scale runs. VIOLETWING_NODE_PROGRAM is the path of
-// the binary.
+// Starts and stops violetwing-node processes for tests and scale tests. The macro VIOLETWING_NODE_PROGRAM is
+// the path of the binary.
 #ifndef VIOLETWING_TESTS_TESTING_NODE_PROCESS_HPP_
 #define VIOLETWING_TESTS_TESTING_NODE_PROCESS_HPP_
 
@@ -19,7 +19,7 @@
 
 namespace violetwing::testing {
 
-// A process of the system with a folder and an address of its own.
+// A violetwing-node process with its own directory and address. The destructor kills it.
 class NodeProcess {
  public:
   NodeProcess(const std::filesystem::path& folder, std::string role, const nlohmann::json& settings)
@@ -35,11 +35,12 @@
   NodeProcess& operator=(const NodeProcess&) = delete;
 
   void Start() { Spawn("warn", nullptr); }
-  // How a process ended by itself, and what it wrote to its standard error. Waits for its end.
+  // Exit status of a process, and its output on standard error.
   struct Ended {
-    int status = -1;  // -1: by a signal
+    int status = -1;  // -1: killed by a signal, or still running after 30 s
     std::string log;
   };
+  // Starts the process and waits until it exits by itself.
   Ended StartAndAwaitEnd() {
     const std::string log = settings_file_ + ".log";
     posix_spawn_file_actions_t actions;
@@ -57,7 +58,7 @@
     kill(id_, SIGKILL);
     waitpid(std::exchange(id_, 0), nullptr, 0);
   }
-  // Its exit status after SIGTERM; -1 if it did not end by itself.
+  // Sends SIGTERM and returns the exit status; -1 if killed by a signal or still running after 30 s.
   int Stop() {
     kill(id_, SIGTERM);
     return AwaitExit();
@@ -75,10 +76,10 @@
     if (error != 0) throw std::system_error(error, std::generic_category(), VIOLETWING_NODE_PROGRAM);
   }
   int AwaitExit() {
-    constexpr unsigned kSecondsAtMost = 30;
+    constexpr unsigned kMaxWaitSeconds = 30;
     int status = 0;
     for (unsigned waited_ms = 0; waitpid(id_, &status, WNOHANG) == 0; waited_ms += 10) {
-      if (waited_ms >= kSecondsAtMost * 1000) return -1;  // killed when this object ends
+      if (waited_ms >= kMaxWaitSeconds * 1000) return -1;  // the destructor kills it
       usleep(10'000);
     }
     id_ = 0;
