--- a/src/dataplane/control_client/control_link.cpp
+++ b/src/dataplane/control_client/control_link.cpp
@@ -74,7 +74,7 @@
 
 void ControlLink::Watch() {
   if (stopped_) return;
-  const auto endpoint = ParseEndpoint(selector_.Current(view_.controls()));
+  const auto endpoint = ParseEndpoint(selector_.Current(view_.control_nodes()));
   if (!endpoint) return OnWatchFinished(0, {});
   WatchRequest request = view_.NextWatchRequest(kLongPollMs, TakeDemand());
   watch_sent_at_ = SteadyMicros();
@@ -87,12 +87,12 @@
 void ControlLink::OnWatchFinished(int status, const std::string& body) {
   if (stopped_) return;
   if (status == 200 && ApplyReply(body)) {
-    selector_.OnAnswered(view_.controls(), SteadyMicros());
+    selector_.OnAnswered(view_.control_nodes(), SteadyMicros());
     boost::asio::post(io_, [this] { Watch(); });
     return;
   }
   usage_.OnFailed(usage_in_flight_);
-  selector_.OnFailed(view_.controls(), SteadyMicros());
+  selector_.OnFailed(view_.control_nodes(), SteadyMicros());
   retry_timer_.expires_after(kRetryDelay);
   retry_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) Watch();
@@ -102,7 +102,7 @@
 bool ControlLink::ApplyReply(const std::string& body) {
   const auto reply = Decode<WatchReply>(body);
   if (!reply) {
-    spdlog::warn("watch reply malformed control={}", selector_.Current(view_.controls()));
+    spdlog::warn("watch reply malformed control={}", selector_.Current(view_.control_nodes()));
     return false;
   }
   try {
@@ -111,7 +111,7 @@
     if (view_.version() >= reply->configuration_version) last_current_reply_at_ = watch_sent_at_;
     return true;
   } catch (const std::exception& error) {  // a configuration of an incompatible format
-    spdlog::warn("watch reply not applied control={} error={}", selector_.Current(view_.controls()),
+    spdlog::warn("watch reply not applied control={} error={}", selector_.Current(view_.control_nodes()),
                  error.what());
     return false;
   }
@@ -145,7 +145,7 @@
 }
 
 void ControlLink::SendDemand() {
-  const auto endpoint = ParseEndpoint(selector_.Current(view_.controls()));
+  const auto endpoint = ParseEndpoint(selector_.Current(view_.control_nodes()));
   if (!endpoint || demand_.empty()) return;
   // Demand counted during a call is sent with the next report or watch request.
   if (demand_channel_.busy()) return;
--- a/src/dataplane/control_client/system_view.hpp
+++ b/src/dataplane/control_client/system_view.hpp
@@ -34,7 +34,7 @@
   /// Version of the configuration; 0 if there is none yet.
   std::int64_t version() const { return configuration_ == nullptr ? 0 : configuration_->version; }
   /// Control processes of the latest reply.
-  const std::vector<ControlNode>& controls() const { return control_nodes_; }
+  const std::vector<ControlNode>& control_nodes() const { return control_nodes_; }
   /// Addresses of the sidecars to which this one sends its load reports.
   const std::vector<std::string>& neighbors() const { return neighbors_.addresses; }
 
--- a/tests/testing/virtual_system.hpp
+++ b/tests/testing/virtual_system.hpp
@@ -347,7 +347,7 @@
   void Watch(std::size_t i) {
     Sidecar& sidecar = sidecars_[i];
     sidecar.watch_in_flight = true;
-    const std::string to = sidecar.selector->Current(sidecar.view->controls());
+    const std::string to = sidecar.selector->Current(sidecar.view->control_nodes());
     CallInternal("edge-" + std::to_string(i), to, kWatchPath,
                  Encode(sidecar.view->NextWatchRequest(kWatchWaitMs, {})),
                  [this, i](int status, const std::string& body) { OnWatchResponse(i, status, body); });
@@ -358,10 +358,10 @@
     sidecar.watch_in_flight = false;
     if (const auto reply = DecodeReply<WatchReply>(status, body)) {
       sidecar.view->Apply(*reply);
-      sidecar.selector->OnAnswered(sidecar.view->controls(), now_);
+      sidecar.selector->OnAnswered(sidecar.view->control_nodes(), now_);
       sidecar.next_watch_at = now_;
     } else {
-      sidecar.selector->OnFailed(sidecar.view->controls(), now_);
+      sidecar.selector->OnFailed(sidecar.view->control_nodes(), now_);
       sidecar.next_watch_at = now_ + 100'000;
     }
     if (sidecar.view->version() < sidecar.highest_version)
