--- a/src/control/configuration/accepted_changes.cpp
+++ b/src/control/configuration/accepted_changes.cpp
@@ -10,7 +10,7 @@
   const std::string kind = change.patch ? "patch " : "put ";
   const std::string text = kind + std::to_string(change.base_version) + "\n" + change.body;
   const XXH128_hash_t hash = XXH3_128bits(text.data(), text.size());
-  char out[33];  // 32 hexadecimal digits and the end of the string
+  char out[33];  // 32 hexadecimal digits and the terminating null
   std::snprintf(out, sizeof out, "%016llx%016llx", static_cast<unsigned long long>(hash.high64),
                 static_cast<unsigned long long>(hash.low64));
   return out;
--- a/src/control/configuration/accepted_changes.hpp
+++ b/src/control/configuration/accepted_changes.hpp
@@ -1,5 +1,6 @@
-// The digests of the latest accepted changes, so that a change that is sent again is acknowledged again. They
-// are part of every snapshot, so their number is bounded.
+// The digests of the most recently accepted changes, which identify a retried change so that it is
+// acknowledged again instead of being applied twice. The digests are part of every snapshot, so their number
+// is bounded.
 #ifndef VIOLETWING_CONTROL_CONFIGURATION_ACCEPTED_CHANGES_HPP_
 #define VIOLETWING_CONTROL_CONFIGURATION_ACCEPTED_CHANGES_HPP_
 
@@ -16,29 +17,31 @@
 
 namespace violetwing::configuration {
 
-/// XXH3 hash of a change's kind, base version and body: 128 bits in hexadecimal. It is stored in snapshots.
+/// Returns the 128-bit XXH3 hash of a change's kind, base version and body in hexadecimal. Snapshots store
+/// it, so it must not change.
 std::string DigestOf(const Change& change);
 
-/// Not thread-safe.
+/// A bounded set of digests, of which the oldest are evicted first. Not thread-safe.
 class AcceptedChanges {
  public:
-  /// Number of digests kept. More than a day of changes at the size aimed at (790); some 48 kB in a snapshot.
+  /// Maximum number of digests. Covers more than a day of changes of the target deployment (790 a day); takes
+  /// about 48 kB in a snapshot.
   static constexpr std::size_t kMaxEntries = 1024;
 
-  /// Adds a change that led to `version`, which is above that of all calls before. Drops the oldest digests
-  /// beyond `kMaxEntries`.
+  /// Adds the change that produced `version`, which must be above the versions of all earlier calls. Evicts
+  /// the oldest digests beyond `kMaxEntries`.
   void Add(const std::string& digest, std::int64_t version);
-  /// Whether the change was accepted and is not forgotten.
+  /// Returns whether the change was accepted and its digest has not been evicted.
   bool Contains(const std::string& digest) const;
-  /// The latest version whose change is forgotten, 0 if none is. Whether a change that builds upon an older
-  /// version than this one was accepted is unknown.
+  /// The highest version whose digest has been evicted; 0 if there is none. For a change based on a version
+  /// below this one, it is unknown whether the change was accepted.
   std::int64_t horizon() const { return horizon_; }
-  /// Number of digests kept.
+  /// Current number of digests.
   std::size_t size() const { return changes_.size(); }
 
-  /// The stored form: the version by digest.
+  /// Returns the versions by digest, in the form that snapshots store.
   std::map<std::string, std::int64_t> Save() const;
-  /// Replaces the contents by a stored form.
+  /// Replaces the contents with the result of an earlier `Save` and its horizon.
   void Load(const std::map<std::string, std::int64_t>& saved, std::int64_t horizon);
 
  private:
--- a/src/control/configuration/change.hpp
+++ b/src/control/configuration/change.hpp
@@ -1,4 +1,4 @@
-// A change of the configuration as the operator sends it, and its outcome.
+// A configuration change as sent by the operator, and its outcome.
 #ifndef VIOLETWING_CONTROL_CONFIGURATION_CHANGE_HPP_
 #define VIOLETWING_CONTROL_CONFIGURATION_CHANGE_HPP_
 
@@ -7,25 +7,26 @@
 
 namespace violetwing::configuration {
 
-/// Whether a change was made. The log's commands and answers hold the numbers: they must not change.
+/// Whether a change was accepted. The replicated log and its results store these numbers, so they must not
+/// change.
 enum class ChangeStatus {
   kAccepted = 0,
-  kVersionConflict = 1,  // another version is in force than the one it builds upon
+  kVersionConflict = 1,  // the current version differs from the change's base version
   kInvalid = 2,
-  kUnknown = 3,  // it builds upon a version so old that it may have been accepted and forgotten
+  kUnknown = 3,  // the base version is so old that the change may have been accepted and evicted
 };
 
-/// What a replica decides on a change.
+/// The result of applying a change on a replica.
 struct ChangeOutcome {
   ChangeStatus status = ChangeStatus::kInvalid;
-  std::int64_t version = 0;  // the one in force now
-  std::string message;       // why it was not accepted; empty if it was
+  std::int64_t version = 0;  // the current version
+  std::string message;       // reason for the rejection; empty if accepted
 };
 
-/// A change (PROTOCOL.md, "The operator's API").
+/// A change of the configuration (PROTOCOL.md, "The operator's API").
 struct Change {
-  bool patch = false;             // PATCH: changes some items; PUT otherwise: replaces the document
-  std::int64_t base_version = 0;  // the version that it builds upon (If-Match)
+  bool patch = false;             // true: PATCH, changes some items; false: PUT, replaces the document
+  std::int64_t base_version = 0;  // the version that the change is based on (If-Match)
   std::string body;               // JSON, as sent
 };
 
--- a/src/control/configuration/configuration.hpp
+++ b/src/control/configuration/configuration.hpp
@@ -1,5 +1,5 @@
-// The operator's configuration as the programs use it, checked and with defaults filled in (PROTOCOL.md, "The
-// operator's API"). Field names are those of the document.
+// The operator's configuration after validation, with defaults filled in (PROTOCOL.md, "The operator's API").
+// Unless noted, fields have the names of the document.
 #ifndef VIOLETWING_CONTROL_CONFIGURATION_CONFIGURATION_HPP_
 #define VIOLETWING_CONTROL_CONFIGURATION_CONFIGURATION_HPP_
 
@@ -15,16 +15,16 @@
 enum class RouteType {
   kIdempotent,
   kNonIdempotent,
-  kStreaming,  // may if the route is `resumable` too
+  kStreaming,  // may be executed more than once only if the route is also `resumable`
 };
 
-/// A backend of a route, and its weight among the route's backends.
+/// A backend of a route and its weight relative to the route's other backends.
 struct Share {
   std::string backend;
   double weight = 0;
 };
 
-/// Which requests go to which backends, and on what terms.
+/// Maps requests to backends and sets their timeouts, priority and retry limit.
 struct Route {
   std::string name;  // unique
   std::string hostname;
@@ -33,59 +33,61 @@
   double timeout_ms = 0;  // above 0
   double target_latency_ms = 0;
   int priority = 0;
-  std::vector<Share> shares;  // at least one; the sum of the weights is above 0
-  int max_attempts = 1;       // at least 1
+  // `traffic_split` in the document, or its `backend` alone. At least one; the sum of the weights is above 0.
+  std::vector<Share> shares;
+  int max_attempts = 1;  // at least 1
   bool session_affinity = false;
   bool resumable = false;
   double gap_aim_ms = 0;   // latency target between two events of a stream
-  bool is_public = false;  // `public` of the document: requests need no key
+  bool is_public = false;  // `public` in the document: requests need no API key
 
-  /// Whether a request may be executed more than once.
+  /// Whether a request may be executed more than once, so that a retry is safe.
   bool Repeatable() const {
     return type == RouteType::kIdempotent || (type == RouteType::kStreaming && resumable);
   }
 };
 
-/// A model that the servers of a backend can load (PROTOCOL.md, "Model placement").
+/// A model that a backend's servers can load (PROTOCOL.md, "Model placement").
 struct Model {
   std::string name;  // unique in its backend
   double weights_mb = 0;
-  double load_time_s = 0;  // from the weight store
-  int adapters = 0;        // number of them
-  double adapter_mb = 0;   // `adapter_size_mb` of the document
+  double load_time_s = 0;  // time to load the weights from the weight store
+  int adapters = 0;        // number of adapters
+  double adapter_mb = 0;   // size of one adapter; `adapter_size_mb` in the document
 };
 
-/// Of a backend whose servers run models (PROTOCOL.md, "Model placement").
+/// Properties of a backend whose servers run models (PROTOCOL.md, "Model placement").
 struct Runtime {
-  int capacity = 1;  // concurrent requests of a server
+  int capacity = 1;  // concurrent requests per server
   double kv_cache_tokens = 0;
   std::vector<Model> models;
-  double weights_mb = 0;   // a server's memory for weights and adapters
-  int max_adapters = 0;    // of a server
-  double loads_per_s = 0;  // rate limit of the weight store over all servers
+  double weights_mb = 0;   // memory for weights and adapters per server
+  int max_adapters = 0;    // per server
+  double loads_per_s = 0;  // rate limit of the weight store across all servers
 };
 
-/// Bounds on the number of servers in each zone, and how long a new one takes until it serves.
+/// Bounds on the number of servers in each zone, and the startup time of a new server.
 struct Autoscaling {
   int min_replicas = 0;
   int max_replicas = 0;  // at least `min_replicas`
-  double startup_s = 0;
+  double startup_s = 0;  // time until a new server accepts requests
 };
 
-/// A service: a group of servers that are alike.
+/// A service: a group of identical servers.
 struct Backend {
   std::string name;          // unique
   std::string health_check;  // path
   int max_connections = 0;
-  std::shared_ptr<const Runtime> runtime;                 // null for plain services
-  std::optional<Autoscaling> autoscaling = std::nullopt;  // empty where the number of servers is fixed
+  std::shared_ptr<const Runtime> runtime;                 // null for services without models
+  std::optional<Autoscaling> autoscaling = std::nullopt;  // empty if the number of servers is fixed
 };
 
-/// A customer, recognized by its API keys. The keys are secrets: they appear in no log, message or finding.
+/// A customer, identified by its API keys. The keys are secrets and must not appear in logs, messages or
+/// findings.
 struct Tenant {
   std::string name;                   // unique
-  std::vector<std::string> api_keys;  // not empty strings; no other tenant has them
-  std::optional<int> priority;        // goes before the priority of the route
+  std::vector<std::string> api_keys;  // non-empty; not shared with another tenant
+  std::optional<int> priority;        // overrides the priority of the route
 };
 
 /// Limits on requests at the ingress.
@@ -96,13 +98,13 @@
   double idle_timeout_ms = 15000;
 };
 
-/// One version of the whole. Immutable once read.
+/// One version of the complete configuration. Immutable after it has been read.
 struct Configuration {
   std::int64_t version = 0;  // above 0
   std::vector<Route> routes;
   std::vector<Backend> backends;
   Limits limits;
-  std::vector<Tenant> tenants;  // empty where requests need no keys
+  std::vector<Tenant> tenants;  // empty if requests need no API keys
 };
 
 }  // namespace violetwing::configuration
--- a/src/control/configuration/document_patch.cpp
+++ b/src/control/configuration/document_patch.cpp
@@ -10,13 +10,14 @@
 
 using Json = nlohmann::ordered_json;
 
+// Returns the name of an item; empty if it has none.
 std::string NameOf(const Json& item) {
   const auto name = item.is_object() ? item.find("name") : item.end();
   return item.is_object() && name != item.end() && name->is_string() ? name->get<std::string>()
                                                                      : std::string();
 }
 
-// The indexes of a list's items by their names.
+// Maps the names of a list's items to their indexes.
 std::unordered_map<std::string, std::size_t> IndexesOf(const Json& list) {
   std::unordered_map<std::string, std::size_t> indexes;
   indexes.reserve(list.size());
@@ -42,7 +43,7 @@
   std::unordered_set<std::string> removed;
   for (const Json& name : names) {
     if (!name.is_string())
-      return Finding{FindingCode::kUnreadable, "delete." + key, "holds something that is not a name"};
+      return Finding{FindingCode::kMalformed, "delete." + key, "holds something that is not a name"};
     removed.insert(name.get<std::string>());
   }
   if (removed.empty()) return std::nullopt;
@@ -51,20 +52,20 @@
   return std::nullopt;
 }
 
-// A member of the patch; an empty object if it is not given.
+// Returns a member of the patch, or an empty object if the patch does not have it.
 const Json& Member(const Json& patch, const char* key) {
-  static const Json kNothing = Json::object();
+  static const Json kEmptyObject = Json::object();
   const auto member = patch.find(key);
-  return member == patch.end() ? kNothing : *member;
+  return member == patch.end() ? kEmptyObject : *member;
 }
 
 std::optional<Finding> RemoveAll(Json& document, const Json& remove) {
-  if (!remove.is_object()) return Finding{FindingCode::kUnreadable, "delete", "is not an object"};
+  if (!remove.is_object()) return Finding{FindingCode::kMalformed, "delete", "is not an object"};
   for (const auto& [key, names] : remove.items()) {
-    if (!names.is_array()) return Finding{FindingCode::kUnreadable, "delete." + key, "is not a list"};
+    if (!names.is_array()) return Finding{FindingCode::kMalformed, "delete." + key, "is not a list"};
     if (!document.contains(key)) continue;
     if (!document[key].is_array())
-      return Finding{FindingCode::kUnreadable, "delete." + key, "is no list of items"};
+      return Finding{FindingCode::kMalformed, "delete." + key, "is no list of items"};
     if (auto finding = Remove(document[key], names, key)) return finding;
   }
   return std::nullopt;
@@ -73,12 +74,12 @@
 std::optional<Finding> UpsertAll(Json& document, const Json& upsert) {
   for (const auto& [key, items] : upsert.items()) {
     if (!items.is_array()) {
-      document[key] = items;  // not a list of items: replaced
+      document[key] = items;  // not a list of items: replaces the previous value
       continue;
     }
     Json& list = document[key];
     if (list.is_null()) list = Json::array();
-    if (!list.is_array()) return Finding{FindingCode::kUnreadable, "upsert." + key, "is no list of items"};
+    if (!list.is_array()) return Finding{FindingCode::kMalformed, "upsert." + key, "is no list of items"};
     if (auto finding = Upsert(list, items, key)) return finding;
   }
   return std::nullopt;
@@ -87,9 +88,9 @@
 }  // namespace
 
 std::optional<Finding> ApplyToDocument(Json& document, const Json& patch) {
-  if (!patch.is_object()) return Finding{FindingCode::kUnreadable, "document", "is not an object"};
+  if (!patch.is_object()) return Finding{FindingCode::kMalformed, "document", "is not an object"};
   const Json& upsert = Member(patch, "upsert");
-  if (!upsert.is_object()) return Finding{FindingCode::kUnreadable, "upsert", "is not an object"};
+  if (!upsert.is_object()) return Finding{FindingCode::kMalformed, "upsert", "is not an object"};
   if (auto finding = RemoveAll(document, Member(patch, "delete"))) return finding;
   if (auto finding = UpsertAll(document, upsert)) return finding;
   if (!patch.contains("version")) return Finding{FindingCode::kMissing, "version", "is missing"};
--- a/src/control/configuration/document_patch.hpp
+++ b/src/control/configuration/document_patch.hpp
@@ -1,4 +1,4 @@
-// Applies a patch to the operator's document, keeping the order of its fields and the fields unknown here.
+// Applies a patch to the operator's JSON document. Preserves the order of its fields and unknown fields.
 #ifndef VIOLETWING_CONTROL_CONFIGURATION_DOCUMENT_PATCH_HPP_
 #define VIOLETWING_CONTROL_CONFIGURATION_DOCUMENT_PATCH_HPP_
 
@@ -9,9 +9,9 @@
 
 namespace violetwing::configuration {
 
-/// Removes what `delete` of the patch names, then replaces and adds the items of `upsert` by name
-/// (PROTOCOL.md, "The operator's API"). Returns a finding, with its path in the patch, if the patch is not
-/// well-formed; `document` may then be partly changed.
+/// Removes the items named in the patch's `delete`, then replaces or adds the items in its `upsert` by name
+/// (PROTOCOL.md, "The operator's API"). Returns a finding with its path in the patch if the patch is not
+/// well-formed; `document` may then be partially modified.
 std::optional<Finding> ApplyToDocument(nlohmann::ordered_json& document, const nlohmann::ordered_json& patch);
 
 }  // namespace violetwing::configuration
--- a/src/control/configuration/finding.hpp
+++ b/src/control/configuration/finding.hpp
@@ -1,4 +1,4 @@
-// What is wrong with a configuration that an operator sends.
+// Validation errors of a configuration that an operator sends.
 #ifndef VIOLETWING_CONTROL_CONFIGURATION_FINDING_HPP_
 #define VIOLETWING_CONTROL_CONFIGURATION_FINDING_HPP_
 
@@ -9,24 +9,24 @@
 
 /// The kinds of findings.
 enum class FindingCode {
-  kUnreadable,        // not JSON, or of another type than the field's
-  kMissing,           // a required value is not given
+  kMalformed,         // not JSON, or not of the field's type
+  kMissing,           // a required value is absent
   kDuplicate,         // another item has the same name or key
-  kOutOfRange,        // a number or a text outside the values allowed
+  kOutOfRange,        // a number or string outside the allowed values
   kUnknownValue,      // not one of the values listed for the field
   kUnknownReference,  // names an item that does not exist
 };
 
-/// One finding.
+/// One validation error.
 struct Finding {
-  FindingCode code = FindingCode::kUnreadable;
-  std::string path;     // "routes[3].timeout_ms"
+  FindingCode code = FindingCode::kMalformed;
+  std::string path;     // for example "routes[3].timeout_ms"
   std::string message;  // in English, without the path
 };
 
-/// One finding, as the operator sees it: "path: message".
+/// Formats a finding for the operator: "path: message".
 std::string ToText(const Finding& finding);
-/// All findings in one line, separated by semicolons.
+/// Formats all findings on one line, separated by semicolons.
 std::string ToText(const std::vector<Finding>& findings);
 
 }  // namespace violetwing::configuration
--- a/src/control/configuration/ignored_members.hpp
+++ b/src/control/configuration/ignored_members.hpp
@@ -1,4 +1,4 @@
-// Which parts of an operator's document this version does not read.
+// Detects the parts of an operator's document that this version ignores.
 #ifndef VIOLETWING_CONTROL_CONFIGURATION_IGNORED_MEMBERS_HPP_
 #define VIOLETWING_CONTROL_CONFIGURATION_IGNORED_MEMBERS_HPP_
 
@@ -8,9 +8,9 @@
 
 namespace violetwing::configuration {
 
-/// The members that no field of configuration.proto stands for, as "tenants" or "routes.public", without
-/// their values. A document with such members is accepted, but asks for something that the system does not
-/// do.
+/// Returns the paths of the members that have no field in configuration.proto, for example "tenants" or
+/// "routes.public", without their values. A document with such members is accepted, but these settings have
+/// no effect.
 std::set<std::string> IgnoredMembers(const nlohmann::ordered_json& document);
 
 }  // namespace violetwing::configuration
--- a/src/control/configuration/message_patch.cpp
+++ b/src/control/configuration/message_patch.cpp
@@ -19,7 +19,7 @@
 constexpr const char* kTenants = "tenants";
 constexpr const char* kLimits = "limits";
 
-// Whether a patch holds only what can be merged into the message item by item.
+// Returns whether all members of the patch's `upsert` can be merged into the message item by item.
 bool IsMergeable(const Json& upsert) {
   for (const auto& [key, items] : upsert.items()) {
     const bool is_list = key == kRoutes || key == kBackends || key == kTenants;
@@ -64,7 +64,7 @@
   Json items = upsert;
   items["version"] = patch.at("version");
   proto::Configuration changed;
-  // The findings come from parsing the whole document, which gives their paths.
+  // The finding is dropped: parsing the complete document reports it with its path.
   if (ParseMessage(items.dump(), changed)) return false;
   message.set_version(changed.version());
   Remove(*message.mutable_routes(), remove.value(kRoutes, Json::array()));
--- a/src/control/configuration/message_patch.hpp
+++ b/src/control/configuration/message_patch.hpp
@@ -1,4 +1,4 @@
-// Applies a patch to a configuration in its parsed form, which costs less than parsing the whole document.
+// Applies a patch to a parsed configuration, which costs less than parsing the complete document.
 #ifndef VIOLETWING_CONTROL_CONFIGURATION_MESSAGE_PATCH_HPP_
 #define VIOLETWING_CONTROL_CONFIGURATION_MESSAGE_PATCH_HPP_
 
@@ -11,8 +11,8 @@
 namespace violetwing::configuration {
 
 /// Replaces, adds and removes items of `message` by name (PROTOCOL.md, "The operator's API"). Returns false
-/// if the patch holds anything but lists of routes and backends, and limits, or cannot be parsed: it must
-/// then be applied to the document, and `message` may not be used any more.
+/// if the patch upserts anything other than `routes`, `backends`, `tenants` and `limits`, or cannot be
+/// parsed. The caller must then apply it to the document and discard `message`.
 bool ApplyToMessage(proto::Configuration& message, const nlohmann::ordered_json& patch);
 
 }  // namespace violetwing::configuration
--- a/src/control/configuration/parser.cpp
+++ b/src/control/configuration/parser.cpp
@@ -7,8 +7,8 @@
 namespace violetwing::configuration {
 namespace {
 
-// The library quotes values that it cannot convert, which may be keys.
-std::string WithoutValue(const std::string& message) {
+// Removes the quoted value from a protobuf error message. Values that cannot be converted may be API keys.
+std::string RedactValue(const std::string& message) {
   const std::size_t value = message.find("invalid value");
   return value == std::string::npos ? message : message.substr(0, value) + "has the wrong type";
 }
@@ -20,7 +20,7 @@
   options.ignore_unknown_fields = true;
   const auto status = google::protobuf::util::JsonStringToMessage(json, &out, options);
   if (status.ok()) return std::nullopt;
-  return Finding{FindingCode::kUnreadable, "document", WithoutValue(std::string(status.message()))};
+  return Finding{FindingCode::kMalformed, "document", RedactValue(std::string(status.message()))};
 }
 
 }  // namespace violetwing::configuration
--- a/src/control/configuration/parser.hpp
+++ b/src/control/configuration/parser.hpp
@@ -1,4 +1,4 @@
-// Parses the JSON of a configuration, or of a part of it, without checking its values.
+// Parses the JSON of a configuration, or of a part of it, without validating its values.
 #ifndef VIOLETWING_CONTROL_CONFIGURATION_PARSER_HPP_
 #define VIOLETWING_CONTROL_CONFIGURATION_PARSER_HPP_
 
@@ -13,7 +13,7 @@
 
 namespace violetwing::configuration {
 
-/// Parses `json` into `out`. Unknown fields are ignored. Returns a finding if it cannot be parsed.
+/// Parses `json` into `out` and ignores unknown fields. Returns a finding if `json` cannot be parsed.
 std::optional<Finding> ParseMessage(const std::string& json, proto::Configuration& out);
 
 }  // namespace violetwing::configuration
--- a/src/control/configuration/reader.hpp
+++ b/src/control/configuration/reader.hpp
@@ -1,4 +1,4 @@
-// Reads a configuration of the operator: parses and checks it.
+// Reads the operator's configuration: parses and validates it.
 #ifndef VIOLETWING_CONTROL_CONFIGURATION_READER_HPP_
 #define VIOLETWING_CONTROL_CONFIGURATION_READER_HPP_
 
@@ -11,7 +11,7 @@
 #include "control/configuration/configuration.hpp"
 #include "control/configuration/finding.hpp"
 
-// The operator's document as protobuf parsed it (generated/configuration.pb.h).
+// The operator's document in its parsed form (generated/configuration.pb.h).
 namespace violetwing::proto {
 class Configuration;
 }
@@ -25,11 +25,11 @@
   std::shared_ptr<const proto::Configuration> message;  // for `ReadPatched`; null if there is any finding
 };
 
-/// Reads a whole document.
+/// Reads a complete document.
 ReadResult Read(const std::string& json);
-/// Reads the document that `patches`, one after the other, make of the one that was read as `before`. The
-/// result equals that of `Read` on the patched document, but only the patches are parsed. `nullopt` if a
-/// patch cannot be applied to the parsed form (message_patch.hpp): the whole document must be read then.
+/// Reads the configuration that results from applying `patches` in order to `before`. The result equals that
+/// of `Read` on the patched document, but only the patches are parsed. Returns `nullopt` if a patch cannot be
+/// applied to the parsed form (message_patch.hpp); the caller must then read the complete document.
 std::optional<ReadResult> ReadPatched(const proto::Configuration& before,
                                       const std::vector<nlohmann::ordered_json>& patches);
 
--- a/src/control/configuration/recent_patches.hpp
+++ b/src/control/configuration/recent_patches.hpp
@@ -1,6 +1,6 @@
-// The latest patches of the configuration, so that a sidecar that holds a recent version is sent what changed
-// since instead of the whole document. A cache of one process: it is not part of snapshots, and after a
-// restart it holds the patches that were applied since.
+// The most recent configuration patches, which are sent to a sidecar with a recent version instead of the
+// complete document. This is a per-process cache: it is not part of snapshots, and after a restart it holds
+// only the patches applied since then.
 #ifndef VIOLETWING_CONTROL_CONFIGURATION_RECENT_PATCHES_HPP_
 #define VIOLETWING_CONTROL_CONFIGURATION_RECENT_PATCHES_HPP_
 
@@ -13,17 +13,19 @@
 
 namespace violetwing::configuration {
 
-/// A sequence of patches, each of which builds upon the version of the one before. Not thread-safe.
+/// A sequence of patches, each based on the version that the previous one produced. Not thread-safe.
 class RecentPatches {
  public:
-  /// Total size of the patches kept. A whole document has up to some hundred kB.
+  /// Maximum total size of the patches. A complete document has up to a few hundred kB.
   static constexpr std::size_t kMaxBytes = std::size_t{64} * 1024;
 
-  /// `patch` led from version `base` to `version`.
+  /// Adds the patch that produced `version` from `base`. Removes all earlier patches first if the latest one
+  /// did not produce `base`. Evicts the oldest patches beyond `kMaxBytes`.
   void Add(std::int64_t base, std::int64_t version, std::string patch);
-  /// The latest version was not the result of a patch.
+  /// Removes all patches. To be called when a new version was not produced by a patch.
   void Clear();
-  /// The patches that lead from `version` to the latest one, in order; `nullopt` if one of them is not kept.
+  /// Returns the patches from `version` to the latest version, in order; `nullopt` if `version` is the latest
+  /// or one of the patches is not available.
   std::optional<std::vector<std::string>> Since(std::int64_t version) const;
 
  private:
@@ -33,7 +35,7 @@
     std::string text;
   };
 
-  std::deque<Patch> patches_;  // each builds upon the version of the one before
+  std::deque<Patch> patches_;  // each is based on the version of its predecessor
   std::size_t bytes_ = 0;
 };
 
--- a/src/control/configuration/state.cpp
+++ b/src/control/configuration/state.cpp
@@ -8,10 +8,10 @@
 namespace violetwing::configuration {
 namespace {
 
-// Keeps the order of the operator's fields.
+// Preserves the order of the operator's fields.
 using Json = nlohmann::ordered_json;
 
-// Why what was read cannot follow `version`; `nullopt` if it can.
+// Returns the reason why `read` cannot replace `version`; `nullopt` if it can.
 std::optional<std::string> RejectionReason(const ReadResult& read, std::int64_t version) {
   if (read.configuration == nullptr) return ToText(read.findings);
   if (read.configuration->version <= version) return "version: must be above " + std::to_string(version);
@@ -57,8 +57,8 @@
   std::string document = json_.dump();
   processed_bytes_ += document.size();
   if (read) return {std::move(document), std::move(*read), /*read_by_patch=*/true};
-  ReadResult whole = Read(document);
-  return {std::move(document), std::move(whole)};
+  ReadResult full_read = Read(document);
+  return {std::move(document), std::move(full_read)};
 }
 
 std::optional<std::vector<std::string>> State::PatchesSince(std::int64_t version) const {
@@ -101,8 +101,9 @@
   current_.reset();
   message_.reset();
   patches_.Clear();
+  // Snapshots of earlier versions have no horizon, because they contain all digests.
   accepted_.Load(saved.at("taken").get<std::map<std::string, std::int64_t>>(),
-                 saved.value("horizon", std::int64_t{0}));  // earlier versions kept all digests
+                 saved.value("horizon", std::int64_t{0}));
   std::string document = saved.at("document").get<std::string>();
   if (document.empty()) return true;
   json_ = Json::parse(document);
--- a/src/control/configuration/state.hpp
+++ b/src/control/configuration/state.hpp
@@ -1,4 +1,4 @@
-// The replicated state machine of the shard that holds the configuration: one version after the other.
+// The replicated state machine of the configuration shard: applies changes and holds the current version.
 #ifndef VIOLETWING_CONTROL_CONFIGURATION_STATE_HPP_
 #define VIOLETWING_CONTROL_CONFIGURATION_STATE_HPP_
 
@@ -17,47 +17,47 @@
 
 namespace violetwing::configuration {
 
-/// Changes are applied in the order of the log and have the same outcome on every replica. Not thread-safe.
+/// Applies changes in log order, with the same outcome on every replica. Not thread-safe.
 class State {
  public:
-  /// Applies a change (RULES.md, "Configuration"). A change that was accepted before is accepted again
-  /// without effect, also after later ones. One that builds upon a version below the horizon of the accepted
-  /// changes is never refused, since it may have been accepted: its status is `kUnknown`.
+  /// Applies a change (RULES.md, "Configuration"). A retry of an accepted change is accepted again without
+  /// effect, even after later changes. A change based on a version below the horizon of the accepted changes
+  /// is never rejected, because it may have been accepted before; its status is `kUnknown`.
   ChangeOutcome Apply(const Change& change);
 
-  /// The version in force; 0 before the first.
+  /// The current version; 0 before the first one.
   std::int64_t version() const { return version_; }
-  /// The document as the operator sent it, with later patches applied; empty before the first.
+  /// The document as the operator sent it, with later patches applied; empty before the first version.
   const std::string& document() const { return document_; }
-  /// The same, parsed; an empty object before the first.
+  /// The document in parsed form; an empty object before the first version.
   const nlohmann::ordered_json& document_object() const { return json_; }
-  /// The configuration in force; null before the first.
+  /// The current configuration; null before the first version.
   std::shared_ptr<const Configuration> current() const { return current_; }
 
-  /// The patches that lead from `version` to the one in force, for `ReadPatched`; `nullopt` if they are not
-  /// kept, or are no shorter than the document.
+  /// Returns the patches from `version` to the current version, for `ReadPatched`; `nullopt` if they are not
+  /// available or not shorter than the document.
   std::optional<std::vector<std::string>> PatchesSince(std::int64_t version) const;
 
-  /// Total size of the documents that `Apply` has processed.
+  /// Total size in bytes of the documents that `Apply` has processed.
   std::size_t processed_bytes() const { return processed_bytes_; }
 
-  /// The state, for a snapshot: an object, to which other members may be added.
+  /// Returns the state as an object for a snapshot. Callers may add other members.
   nlohmann::json SaveObject() const;
-  /// Restores a saved state, also of earlier versions of this program. False if it cannot be read, or if its
-  /// document is one that this version refuses; the state is then unspecified.
+  /// Restores a saved state, also one saved by an earlier version of this program. Returns false if it cannot
+  /// be read or if this version rejects its document; the state is then unspecified.
   [[nodiscard]] bool LoadObject(const nlohmann::json& saved);
-  /// The same as text.
+  /// Save and restore the state as JSON text, like `SaveObject` and `LoadObject`.
   std::string Save() const { return SaveObject().dump(); }
   [[nodiscard]] bool Load(const std::string& saved);
 
  private:
-  // A document that a change leads to, not yet in force.
+  // The document that results from a change, before it takes effect.
   struct Candidate {
     std::string document;
     ReadResult read;
-    bool read_by_patch = false;  // only the patch was parsed
+    bool read_by_patch = false;  // the configuration was read by parsing the patch alone
   };
-  // Leaves the candidate's document in `json_` too.
+  // Also modifies `json_`; the caller must restore it if the candidate is rejected.
   Candidate MakeCandidate(const Change& change, nlohmann::ordered_json body);
   void Install(std::string document, ReadResult read);
   // Throws nlohmann::json::exception.
@@ -65,7 +65,7 @@
 
   std::int64_t version_ = 0;
   std::string document_;
-  // `document_` parsed: parsing it anew is a third of the cost of a patch.
+  // `document_` in parsed form. Parsing it again for each patch would take a third of the cost of a patch.
   nlohmann::ordered_json json_ = nlohmann::ordered_json::object();
   std::shared_ptr<const Configuration> current_;
   std::shared_ptr<const proto::Configuration> message_;
--- a/src/control/configuration/validator.cpp
+++ b/src/control/configuration/validator.cpp
@@ -11,17 +11,18 @@
 namespace violetwing::configuration {
 namespace {
 
-std::string At(const char* list, int index, const char* field) {
+// Returns the path of a field of a list item, for example "routes[3].name".
+std::string FieldPath(const char* list, int index, const char* field) {
   return std::string(list) + "[" + std::to_string(index) + "]." + field;
 }
 
-// Checks one document and builds the configuration from it.
+// Validates one document and builds the configuration from it.
 class Validator {
  public:
   explicit Validator(const proto::Configuration& in) : in_(in) {}
 
   ValidationResult Run() {
-    if (in_.version() <= 0) Report(FindingCode::kOutOfRange, "version", "must be above 0");
+    if (in_.version() <= 0) AddFinding(FindingCode::kOutOfRange, "version", "must be above 0");
     for (int i = 0; i < in_.backends_size(); ++i) AddBackend(i);
     for (int i = 0; i < in_.routes_size(); ++i) AddRoute(i);
     for (int i = 0; i < in_.tenants_size(); ++i) AddTenant(i);
@@ -32,17 +33,19 @@
   }
 
  private:
-  void Report(FindingCode code, std::string path, std::string message) {
+  void AddFinding(FindingCode code, std::string path, std::string message) {
     findings_.push_back({code, std::move(path), std::move(message)});
   }
 
   void AddBackend(int index) {
     const proto::Backend& in = in_.backends(index);
-    if (in.name().empty()) Report(FindingCode::kMissing, At("backends", index, "name"), "is missing");
+    if (in.name().empty())
+      AddFinding(FindingCode::kMissing, FieldPath("backends", index, "name"), "is missing");
     if (!backend_names_.insert(in.name()).second)
-      Report(FindingCode::kDuplicate, At("backends", index, "name"), "stands twice: " + in.name());
+      AddFinding(FindingCode::kDuplicate, FieldPath("backends", index, "name"), "stands twice: " + in.name());
     if (in.max_connections() < 0)
-      Report(FindingCode::kOutOfRange, At("backends", index, "max_connections"), "must not be negative");
+      AddFinding(FindingCode::kOutOfRange, FieldPath("backends", index, "max_connections"),
+                 "must not be negative");
     Backend out{in.name(), in.health_check(), in.max_connections(), nullptr, std::nullopt};
     if (in.has_autoscaling()) out.autoscaling = MakeAutoscaling(in.autoscaling(), index);
     if (in.has_runtime()) out.runtime = MakeRuntime(in.runtime(), index);
@@ -51,8 +54,8 @@
 
   Autoscaling MakeAutoscaling(const proto::Autoscaling& in, int index) {
     if (in.min_replicas() < 0 || in.max_replicas() < in.min_replicas() || !(in.startup_s() >= 0))
-      Report(FindingCode::kOutOfRange, At("backends", index, "autoscaling"),
-             "must have 0 <= min_replicas <= max_replicas and a startup_s that is not negative");
+      AddFinding(FindingCode::kOutOfRange, FieldPath("backends", index, "autoscaling"),
+                 "must have 0 <= min_replicas <= max_replicas and a startup_s that is not negative");
     return {in.min_replicas(), in.max_replicas(), in.startup_s()};
   }
 
@@ -66,11 +69,12 @@
     std::set<std::string> names;
     for (const proto::Model& model : in.models()) {
       if (model.name().empty() || !names.insert(model.name()).second)
-        Report(model.name().empty() ? FindingCode::kMissing : FindingCode::kDuplicate,
-               At("backends", index, "runtime.models"), "a name is missing or stands twice: " + model.name());
+        AddFinding(model.name().empty() ? FindingCode::kMissing : FindingCode::kDuplicate,
+                   FieldPath("backends", index, "runtime.models"),
+                   "a name is missing or stands twice: " + model.name());
       if (model.weights_mb() < 0 || model.load_time_s() < 0 || model.adapters() < 0)
-        Report(FindingCode::kOutOfRange, At("backends", index, "runtime.models"),
-               "negative figure of " + model.name());
+        AddFinding(FindingCode::kOutOfRange, FieldPath("backends", index, "runtime.models"),
+                   "negative figure of " + model.name());
       out->models.push_back(
           {model.name(), model.weights_mb(), model.load_time_s(), model.adapters(), model.adapter_size_mb()});
     }
@@ -87,21 +91,24 @@
   }
 
   void CheckRoute(const proto::Route& in, int index) {
-    if (in.name().empty()) Report(FindingCode::kMissing, At("routes", index, "name"), "is missing");
+    if (in.name().empty())
+      AddFinding(FindingCode::kMissing, FieldPath("routes", index, "name"), "is missing");
     if (!route_names_.insert(in.name()).second)
-      Report(FindingCode::kDuplicate, At("routes", index, "name"), "stands twice: " + in.name());
+      AddFinding(FindingCode::kDuplicate, FieldPath("routes", index, "name"), "stands twice: " + in.name());
     if (in.path_prefix().empty() || in.path_prefix().front() != '/')
-      Report(FindingCode::kOutOfRange, At("routes", index, "path_prefix"), "must begin with a slash");
+      AddFinding(FindingCode::kOutOfRange, FieldPath("routes", index, "path_prefix"),
+                 "must begin with a slash");
     if (!path_prefixes_.emplace(in.hostname(), in.path_prefix()).second)
-      Report(FindingCode::kDuplicate, At("routes", index, "path_prefix"),
-             "another route has the same host and prefix");
+      AddFinding(FindingCode::kDuplicate, FieldPath("routes", index, "path_prefix"),
+                 "another route has the same host and prefix");
     if (!(in.timeout_ms() > 0))
-      Report(FindingCode::kOutOfRange, At("routes", index, "timeout_ms"), "must be above 0");
+      AddFinding(FindingCode::kOutOfRange, FieldPath("routes", index, "timeout_ms"), "must be above 0");
     if (in.max_attempts() < 0)
-      Report(FindingCode::kOutOfRange, At("routes", index, "max_attempts"), "must not be negative");
+      AddFinding(FindingCode::kOutOfRange, FieldPath("routes", index, "max_attempts"),
+                 "must not be negative");
   }
 
-  // The fields that need no check but a default.
+  // Copies the fields that need no further validation, with defaults filled in.
   static Route CopyRoute(const proto::Route& in) {
     Route out;
     out.name = in.name();
@@ -126,37 +133,40 @@
     else if (type == "non_idempotent")
       out.type = RouteType::kNonIdempotent;
     else
-      Report(FindingCode::kUnknownValue, At("routes", index, "type"), "is not known: " + type);
+      AddFinding(FindingCode::kUnknownValue, FieldPath("routes", index, "type"), "is not known: " + type);
   }
 
   void SetShares(const proto::Route& in, int index, Route& out) {
     if (in.traffic_split_size() == 0) {
       if (backend_names_.count(in.backend()) == 0)
-        Report(FindingCode::kUnknownReference, At("routes", index, "backend"),
-               "names no service: " + in.backend());
+        AddFinding(FindingCode::kUnknownReference, FieldPath("routes", index, "backend"),
+                   "names no service: " + in.backend());
       out.shares.push_back({in.backend(), 1});
       return;
     }
     double weights = 0;
     for (const proto::Share& share : in.traffic_split()) {
       if (backend_names_.count(share.backend()) == 0)
-        Report(FindingCode::kUnknownReference, At("routes", index, "traffic_split"),
-               "names no service: " + share.backend());
+        AddFinding(FindingCode::kUnknownReference, FieldPath("routes", index, "traffic_split"),
+                   "names no service: " + share.backend());
       if (!(share.weight() >= 0))
-        Report(FindingCode::kOutOfRange, At("routes", index, "traffic_split"), "a weight is negative");
+        AddFinding(FindingCode::kOutOfRange, FieldPath("routes", index, "traffic_split"),
+                   "a weight is negative");
       weights += share.weight();
       out.shares.push_back({share.backend(), share.weight()});
     }
     if (!(weights > 0))
-      Report(FindingCode::kOutOfRange, At("routes", index, "traffic_split"), "the weights add up to 0");
+      AddFinding(FindingCode::kOutOfRange, FieldPath("routes", index, "traffic_split"),
+                 "the weights add up to 0");
   }
 
-  // Findings name the place of a key, never the key.
+  // Findings contain the path of an API key, never the key itself.
   void AddTenant(int index) {
     const proto::Tenant& in = in_.tenants(index);
-    if (in.name().empty()) Report(FindingCode::kMissing, At("tenants", index, "name"), "is missing");
+    if (in.name().empty())
+      AddFinding(FindingCode::kMissing, FieldPath("tenants", index, "name"), "is missing");
     if (!tenant_names_.insert(in.name()).second)
-      Report(FindingCode::kDuplicate, At("tenants", index, "name"), "stands twice: " + in.name());
+      AddFinding(FindingCode::kDuplicate, FieldPath("tenants", index, "name"), "stands twice: " + in.name());
     for (int i = 0; i < in.api_keys_size(); ++i) CheckKey(in, index, i);
     Tenant out{in.name(), {in.api_keys().begin(), in.api_keys().end()}, std::nullopt};
     if (in.has_priority()) out.priority = in.priority();
@@ -165,12 +175,13 @@
 
   void CheckKey(const proto::Tenant& tenant, int tenant_index, int key_index) {
     const std::string& key = tenant.api_keys(key_index);
-    const std::string path = At("tenants", tenant_index, "api_keys") + "[" + std::to_string(key_index) + "]";
-    if (key.empty()) Report(FindingCode::kMissing, path, "is empty");
+    const std::string path =
+        FieldPath("tenants", tenant_index, "api_keys") + "[" + std::to_string(key_index) + "]";
+    if (key.empty()) AddFinding(FindingCode::kMissing, path, "is empty");
     const auto [owner, inserted] = key_owners_.emplace(key, tenant_index);
     if (!inserted && owner->second != tenant_index)
-      Report(FindingCode::kDuplicate, path,
-             "is also a key of the tenant " + in_.tenants(owner->second).name());
+      AddFinding(FindingCode::kDuplicate, path,
+                 "is also a key of the tenant " + in_.tenants(owner->second).name());
   }
 
   void SetLimits() {
@@ -178,7 +189,7 @@
     const proto::Limits& in = in_.limits();
     if (in.max_header_bytes() < 0 || in.max_body_bytes() < 0 || in.header_timeout_ms() < 0 ||
         in.idle_timeout_ms() < 0)
-      Report(FindingCode::kOutOfRange, "limits", "must not be negative");
+      AddFinding(FindingCode::kOutOfRange, "limits", "must not be negative");
     if (in.max_header_bytes() > 0) out_.limits.max_header_bytes = in.max_header_bytes();
     if (in.max_body_bytes() > 0) out_.limits.max_body_bytes = in.max_body_bytes();
     if (in.header_timeout_ms() > 0) out_.limits.header_timeout_ms = in.header_timeout_ms();
@@ -191,8 +202,8 @@
   std::set<std::string> backend_names_;
   std::set<std::string> route_names_;
   std::set<std::string> tenant_names_;
-  std::map<std::string, int> key_owners_;                        // index of the tenant, by key
-  std::set<std::pair<std::string, std::string>> path_prefixes_;  // with their hostnames
+  std::map<std::string, int> key_owners_;                        // tenant index by API key
+  std::set<std::pair<std::string, std::string>> path_prefixes_;  // pairs of hostname and path prefix
 };
 
 }  // namespace
--- a/src/control/configuration/validator.hpp
+++ b/src/control/configuration/validator.hpp
@@ -1,4 +1,4 @@
-// Checks a configuration that was parsed. All findings are reported together, each with its path.
+// Validates a parsed configuration. All findings are reported together, each with its path.
 #ifndef VIOLETWING_CONTROL_CONFIGURATION_VALIDATOR_HPP_
 #define VIOLETWING_CONTROL_CONFIGURATION_VALIDATOR_HPP_
 
@@ -8,7 +8,7 @@
 #include "control/configuration/configuration.hpp"
 #include "control/configuration/finding.hpp"
 
-// The operator's document as protobuf parsed it (generated/configuration.pb.h).
+// The operator's document in its parsed form (generated/configuration.pb.h).
 namespace violetwing::proto {
 class Configuration;
 }
@@ -21,7 +21,7 @@
   std::vector<Finding> findings;
 };
 
-/// Checks `message` and fills in defaults.
+/// Validates `message` and fills in defaults.
 ValidationResult Validate(const proto::Configuration& message);
 
 }  // namespace violetwing::configuration
--- a/src/control/gossip/exchange_message.cpp
+++ b/src/control/gossip/exchange_message.cpp
@@ -11,9 +11,9 @@
 bool DecodeShardMessages(const wire::ShardMessages& in, std::vector<ShardMessage>& out) {
   out.resize(static_cast<std::size_t>(in.messages_size()));
   for (std::size_t i = 0; i < out.size(); ++i) {
-    const wire::ShardMessage& one = in.messages(static_cast<int>(i));
-    out[i].shard = one.shard();
-    if (!consensus::FromWire(one.message(), out[i].message)) return false;
+    const wire::ShardMessage& encoded = in.messages(static_cast<int>(i));
+    out[i].shard = encoded.shard();
+    if (!consensus::FromWire(encoded.message(), out[i].message)) return false;
   }
   return true;
 }
@@ -32,15 +32,15 @@
   ToWire(request.changed_instances, *out.mutable_changed());
   out.mutable_messages();
   for (const ShardMessage& message : request.messages) {
-    wire::ShardMessage& one = *out.mutable_messages()->add_messages();
-    one.set_shard(message.shard);
-    consensus::ToWire(message.message, *one.mutable_message());
+    wire::ShardMessage& encoded = *out.mutable_messages()->add_messages();
+    encoded.set_shard(message.shard);
+    consensus::ToWire(message.message, *encoded.mutable_message());
   }
   out.mutable_proposals();
   for (const ShardProposal& proposal : request.proposals) {
-    wire::ShardProposal& one = *out.mutable_proposals()->add_proposals();
-    one.set_shard(proposal.shard);
-    one.set_command(proposal.command);
+    wire::ShardProposal& encoded = *out.mutable_proposals()->add_proposals();
+    encoded.set_shard(proposal.shard);
+    encoded.set_command(proposal.command);
   }
   ToWire(request.demand, *out.mutable_demand());
   out.set_wants_heard(request.wants_last_seen);
@@ -62,8 +62,8 @@
   request.version_vector = FromWire(in->known());
   request.changed_instances = FromWire(in->changed());
   if (!DecodeShardMessages(in->messages(), request.messages)) return std::nullopt;
-  for (const wire::ShardProposal& one : in->proposals().proposals())
-    request.proposals.push_back({one.shard(), one.command()});
+  for (const wire::ShardProposal& encoded : in->proposals().proposals())
+    request.proposals.push_back({encoded.shard(), encoded.command()});
   request.demand = FromWire(in->demand());
   request.wants_last_seen = in->wants_heard();
   for (const wire::UsageReport& report : in->usage()) request.usage.push_back(FromWire(report));
@@ -78,17 +78,17 @@
   ToWire(reply.version_vector, *out.mutable_known());
   out.mutable_heard();
   for (const LastSeen& seen : reply.last_seen_instances) {
-    wire::HeardServer& one = *out.mutable_heard()->add_servers();
-    one.set_id(seen.id);
-    one.set_sequence(seen.sequence);
-    one.set_age_ms(seen.age_ms);
+    wire::HeardServer& encoded = *out.mutable_heard()->add_servers();
+    encoded.set_id(seen.id);
+    encoded.set_sequence(seen.sequence);
+    encoded.set_age_ms(seen.age_ms);
   }
   out.mutable_edges();
   for (const SidecarLastSeen& seen : reply.last_seen_sidecars) {
-    wire::HeardSidecar& one = *out.mutable_edges()->add_sidecars();
-    one.set_id(seen.id);
-    one.set_address(seen.address);
-    one.set_age_ms(seen.age_ms);
+    wire::HeardSidecar& encoded = *out.mutable_edges()->add_sidecars();
+    encoded.set_id(seen.id);
+    encoded.set_address(seen.address);
+    encoded.set_age_ms(seen.age_ms);
   }
   ToWire(reply.control_nodes, *out.mutable_controls());
   if (reply.time_of_day) out.set_time_of_day(*reply.time_of_day);
@@ -104,10 +104,10 @@
   reply.incarnation = in->source();
   reply.changed_instances = FromWire(in->changed());
   reply.version_vector = FromWire(in->known());
-  for (const wire::HeardServer& one : in->heard().servers())
-    reply.last_seen_instances.push_back({one.id(), one.sequence(), one.age_ms()});
-  for (const wire::HeardSidecar& one : in->edges().sidecars())
-    reply.last_seen_sidecars.push_back({one.id(), one.address(), one.age_ms()});
+  for (const wire::HeardServer& encoded : in->heard().servers())
+    reply.last_seen_instances.push_back({encoded.id(), encoded.sequence(), encoded.age_ms()});
+  for (const wire::HeardSidecar& encoded : in->edges().sidecars())
+    reply.last_seen_sidecars.push_back({encoded.id(), encoded.address(), encoded.age_ms()});
   reply.control_nodes = FromWire(in->controls());
   if (in->has_time_of_day()) reply.time_of_day = in->time_of_day();
   for (const wire::UsageReport& report : in->usage()) reply.usage.push_back(FromWire(report));
--- a/src/control/gossip/gossip.cpp
+++ b/src/control/gossip/gossip.cpp
@@ -5,17 +5,17 @@
 namespace violetwing {
 namespace {
 
-// Also the interval at which last-seen lists are asked for.
+// Interval of exchanges without queued payload, and of requests for last-seen lists.
 constexpr Micros kExchangeInterval = 150'000;
-// Changes are broadcast at once, but to each peer not more often than this.
+// Minimum interval between broadcasts of changes to one peer. The first change is broadcast at once.
 constexpr Micros kBroadcastInterval = 20'000;
-// After a failed exchange.
+// Delay before the retry of a failed exchange.
 constexpr Micros kRetryInterval = 400'000;
-// A peer that is neither seed nor member is forgotten when it has not been seen for so long.
-constexpr Micros kForgetAfter = 20'000'000;
-// A peer counts as live for so long after it was seen.
-constexpr Micros kLiveFor = 10'000'000;
-// Messages, proposals or items of demand queued for one peer. Replicas repeat what is dropped.
+// A peer that is neither a seed nor a member is removed after it has not been seen for this long.
+constexpr Micros kRemoveAfter = 20'000'000;
+// A peer counts as live for this long after it was last seen.
+constexpr Micros kLivenessTimeout = 10'000'000;
+// Maximum queue length per peer of each kind of payload. Senders repeat payload that is dropped.
 constexpr std::size_t kMaxQueued = 256;
 
 }  // namespace
@@ -46,7 +46,7 @@
   if (node.address.empty() || node.address == self_.address) return;
   Peer& peer = FindOrAdd(node.address);
   peer.node = node;
-  peer.node.leaving = false;  // must not be passed on: each process announces its own shutdown
+  peer.node.leaving = false;  // not propagated: only the process itself announces its shutdown
   if (peer.last_seen_at == 0) peer.last_seen_at = now;
 }
 
@@ -110,15 +110,15 @@
   }
 }
 
-bool Gossip::IsForgettable(const Peer& peer, Micros now) {
+bool Gossip::IsExpired(const Peer& peer, Micros now) {
   const bool needed = peer.is_seed || peer.is_member || peer.exchange_in_flight;
-  return !needed && now - peer.last_seen_at > kForgetAfter;
+  return !needed && now - peer.last_seen_at > kRemoveAfter;
 }
 
 void Gossip::Tick(Micros now) {
   for (auto it = peers_.begin(); it != peers_.end();) {
     auto& [address, peer] = *it;
-    if (IsForgettable(peer, now)) {
+    if (IsExpired(peer, now)) {
       it = peers_.erase(it);
       continue;
     }
@@ -149,7 +149,7 @@
   peer.exchange_in_flight = false;
   peer.last_exchange_failed = !succeeded;
   if (!succeeded) {
-    // The replicas repeat these messages, in a later state.
+    // Drops the queued messages: the replicas send newer ones in their place.
     peer.next_request.messages.clear();
     return;
   }
@@ -160,7 +160,7 @@
 std::vector<ControlNode> Gossip::LiveNodes(Micros now) const {
   std::vector<ControlNode> nodes{self_};
   for (const auto& [address, peer] : peers_)
-    if (!peer.node.node.empty() && now - peer.last_seen_at < kLiveFor) nodes.push_back(peer.node);
+    if (!peer.node.node.empty() && now - peer.last_seen_at < kLivenessTimeout) nodes.push_back(peer.node);
   return nodes;
 }
 
--- a/src/control/gossip/gossip.hpp
+++ b/src/control/gossip/gossip.hpp
@@ -1,6 +1,6 @@
-// Exchanges with the other control processes: which peers there are, and at most one call in flight to each.
-// What is to be sent to a peer is queued until its call has ended. The payload of a failed call is lost;
-// senders repeat it. A core: it holds no clock, socket, file or thread.
+// Tracks the other control processes (peers) and schedules exchanges with them, with at most one call in
+// flight per peer. Payload for a peer is queued while its call is in flight. The payload of a failed call is
+// lost, and senders must repeat it. Contains no clock, socket, file or thread.
 #ifndef VIOLETWING_CONTROL_GOSSIP_GOSSIP_HPP_
 #define VIOLETWING_CONTROL_GOSSIP_GOSSIP_HPP_
 
@@ -16,70 +16,72 @@
 
 namespace violetwing {
 
-/// The peers of one control process and the schedule of the exchanges with them. Peers are named by their
-/// internal address. All times are in microseconds of one steady clock.
+/// The peers of one control process and the schedule of the exchanges with them. Peers are identified by
+/// their internal address. All times are in microseconds of one steady clock.
 class Gossip {
  public:
-  /// Calls to the owner, made from within the calls below.
+  /// Callbacks to the owner, invoked synchronously from the member functions.
   struct Outputs {
-    /// Adds to a request what every exchange carries. `peer_versions` is what the peer sent last of its
-    /// version vector, null if it has sent none yet.
+    /// Fills in the fields that every request carries. `peer_versions` is the version vector that the peer
+    /// sent last; null if it has sent none.
     std::function<void(ExchangeRequest&, const VersionVector* peer_versions)> fill_request;
-    /// Begins an exchange. `OnExchangeEnded` has to follow.
+    /// Begins an exchange. The owner must call `OnExchangeEnded` when it ends.
     std::function<void(const std::string& address, ExchangeRequest)> exchange;
   };
 
-  /// `self`: how this process presents itself to the others.
+  /// `self`: the identity of this process that the peers receive.
   Gossip(ControlNode self, Outputs outputs) : self_(std::move(self)), outputs_(std::move(outputs)) {}
 
-  /// Replaces the peers of the settings, which are never forgotten.
+  /// Replaces the peers from the settings. They never expire.
   void SetSeeds(const std::vector<ControlNode>& seeds);
-  /// Replaces the peers that hold replicas of the shards, which are never forgotten.
+  /// Replaces the peers that hold replicas of the shards. They never expire.
   void SetMembers(const std::vector<std::string>& addresses);
-  /// A control process was seen, here or by another one.
+  /// Records that this process or a peer has seen a control process.
   void OnPeerSeen(const ControlNode& node, Micros now);
-  /// A peer has sent the version vector of its instance table.
+  /// Records the version vector of a peer's instance table, and the incarnation that sent it.
   void OnPeerVersions(const std::string& address, const std::string& incarnation,
                       const VersionVector& version_vector);
 
-  /// Each queues something for a peer until the next `Flush`. A full queue drops: all earlier messages, or
-  /// the new proposal or demand.
+  /// Queue payload for a peer until its next exchange. If the queue is full, `SendMessage` drops all earlier
+  /// messages, and the other two drop the new payload.
   void SendMessage(const std::string& address, ShardMessage message);
   void SendProposal(const std::string& address, ShardProposal proposal);
   void SendDemand(const std::string& address, std::vector<ModelDemand> demand);
-  /// Adds a report to the next exchange with each peer.
+  /// Adds a report to the next exchange with each peer. Dropped for peers whose queue is full.
   void BroadcastUsage(const UsageReport& report);
 
-  /// This process is about to end: begins an exchange with all peers that are free.
+  /// Announces that this process shuts down. Begins an exchange with each peer that has none in flight and is
+  /// not backing off.
   void AnnounceShutdown(Micros now);
-  /// All peers should soon have the changes of this process's instance table.
+  /// Schedules an exchange with each peer to send changes of this process's instance table.
   void ScheduleBroadcast(Micros now);
-  /// Begins the exchanges that are due by time, and forgets peers that have been silent for long.
+  /// Begins the periodic exchanges that are due, and removes expired peers.
   void Tick(Micros now);
-  /// Begins the exchanges for which something is queued.
+  /// Begins the exchanges with queued payload or a due broadcast.
   void Flush(Micros now);
-  /// An exchange has ended. `succeeded`: with a reply that could be decoded.
+  /// Records the end of an exchange. `succeeded`: a reply was received and decoded.
   void OnExchangeEnded(const std::string& address, bool succeeded, Micros now);
 
-  /// When the exchange with a peer began that is in flight, or was last.
+  /// Returns the start time of the exchange with a peer in flight, or else of the last one; 0 if there is
+  /// none.
   Micros LastExchangeAt(const std::string& address) const;
-  /// The control processes that were seen lately, this one included.
+  /// Returns the control processes that were seen recently, including this one.
   std::vector<ControlNode> LiveNodes(Micros now) const;
 
  private:
   struct Peer {
-    ControlNode node;  // its names are empty until the peer was seen
+    ControlNode node;  // names are empty until the peer has been seen
     bool is_seed = false;
     bool is_member = false;
     Micros last_seen_at = 0;  // 0: never
 
     bool exchange_in_flight = false;
-    bool requested_last_seen = false;  // by the exchange in flight, or the last one
+    bool requested_last_seen = false;  // by the exchange in flight, or else by the last one
     bool last_exchange_failed = false;
-    Micros last_exchange_at = 0;   // its begin
-    Micros last_seen_sync_at = 0;  // begin of the last exchange that brought last-seen lists; 0: none
+    Micros last_exchange_at = 0;   // start time
+    Micros last_seen_sync_at = 0;  // start time of the last exchange that returned last-seen lists; 0: none
 
-    ExchangeRequest next_request;  // what is queued
+    ExchangeRequest next_request;  // queued payload
     bool has_queued_payload = false;
     bool broadcast_pending = false;
 
@@ -87,7 +89,7 @@
     std::optional<VersionVector> version_vector;
   };
 
-  static bool IsForgettable(const Peer& peer, Micros now);
+  static bool IsExpired(const Peer& peer, Micros now);
   Peer& FindOrAdd(const std::string& address);
   void BeginExchange(const std::string& address, Peer& peer, Micros now);
 
--- a/src/control/gossip/sidecar_registry.cpp
+++ b/src/control/gossip/sidecar_registry.cpp
@@ -7,9 +7,10 @@
 namespace violetwing {
 namespace {
 
-// A sidecar that has not been seen for longer counts no more: the others divide its share among them.
-constexpr Micros kLiveFor = 5'000'000;
-// On both sides together. Each load report costs one datagram per neighbor.
+// A sidecar that has not been seen for longer is not live, and the live ones divide its share among
+// themselves.
+constexpr Micros kLivenessTimeout = 5'000'000;
+// Maximum number of neighbors on both sides together. Each load report costs one datagram per neighbor.
 constexpr std::size_t kMaxNeighbors = 24;
 
 constexpr Micros kMicrosPerMs = 1000;
@@ -17,7 +18,7 @@
 }  // namespace
 
 bool SidecarRegistry::IsLive(const Sidecar& sidecar, Micros now) {
-  return now - sidecar.last_seen_at <= kLiveFor;
+  return now - sidecar.last_seen_at <= kLivenessTimeout;
 }
 
 void SidecarRegistry::OnWatch(const std::string& name, const std::string& address, Micros now) {
@@ -46,27 +47,27 @@
 }
 
 Neighbors SidecarRegistry::NeighborsOf(const std::string& name, Micros now) const {
-  std::vector<const std::string*> ring;  // addresses by position
-  std::size_t own = 0;
+  std::vector<const std::string*> ring;  // addresses of live sidecars, in the order of their names
+  std::size_t own_index = 0;
   for (const auto& [other, sidecar] : sidecars_) {
     if (!IsLive(sidecar, now)) continue;
-    if (other == name) own = ring.size();
+    if (other == name) own_index = ring.size();
     ring.push_back(&sidecar.address);
   }
   const std::size_t others = ring.empty() ? 0 : ring.size() - 1;
   const std::size_t count = std::min(others, kMaxNeighbors);
   Neighbors neighbors;
-  std::string hashed;
+  std::string hash_input;
   for (std::size_t i = 0; i < count; ++i) {
     const std::size_t distance = i / 2 + 1;
-    const bool after = i % 2 == 0;
-    const std::size_t index = after ? own + distance : own + ring.size() - distance;
+    const bool forward = i % 2 == 0;
+    const std::size_t index = forward ? own_index + distance : own_index + ring.size() - distance;
     const std::string& address = *ring[index % ring.size()];
     if (address.empty()) continue;
     neighbors.addresses.push_back(address);
-    hashed += address + ",";
+    hash_input += address + ",";
   }
-  neighbors.hash = neighbors.addresses.empty() ? 0 : Hash(0, hashed);
+  neighbors.hash = neighbors.addresses.empty() ? 0 : Hash(0, hash_input);
   return neighbors;
 }
 
--- a/src/control/gossip/sidecar_registry.hpp
+++ b/src/control/gossip/sidecar_registry.hpp
@@ -1,6 +1,6 @@
-// The sidecars that the control processes have seen lately, and the position of each among them. Control
-// processes that have seen the same sidecars give the same positions. A core: it holds no clock, socket, file
-// or thread.
+// The sidecars that the control processes have seen recently, and the position of each among them. Control
+// processes that have seen the same sidecars compute the same positions. Contains no clock, socket, file or
+// thread.
 #ifndef VIOLETWING_CONTROL_GOSSIP_SIDECAR_REGISTRY_HPP_
 #define VIOLETWING_CONTROL_GOSSIP_SIDECAR_REGISTRY_HPP_
 
@@ -14,35 +14,36 @@
 
 namespace violetwing {
 
-/// Sidecars by name, with the time of their last watch at any control process. Times are in microseconds of
-/// one steady clock.
+/// Sidecars by name, with the time of their last watch call to any control process. Times are in microseconds
+/// of one steady clock.
 class SidecarRegistry {
  public:
-  /// Where a sidecar's window lies among those of all live sidecars.
+  /// Position of a sidecar's window of servers among the windows of all live sidecars.
   struct WindowPosition {
-    int index = 0;  ///< from 0, by name
-    int count = 1;  ///< of the live sidecars, at least 1
+    int index = 0;  ///< from 0, in the order of sidecar names
+    int count = 1;  ///< number of live sidecars, at least 1
   };
 
-  /// This process has received a watch of the sidecar. `address`: where the sidecar receives load reports of
-  /// other sidecars, empty for none.
+  /// Records a watch call of a sidecar to this process. `address`: where the sidecar receives load reports
+  /// from other sidecars; may be empty.
   void OnWatch(const std::string& name, const std::string& address, Micros now);
-  /// Another control process has received a watch.
+  /// Merges the time of a watch call to another control process.
   void MergeLastSeen(const SidecarLastSeen& seen, Micros now);
 
-  /// The number of live sidecars, at least 1.
+  /// Returns the number of live sidecars, at least 1.
   int Count(Micros now) const { return WindowPositionOf({}, now).count; }
+  /// Returns the position of a sidecar; index 0 if it is not live.
   WindowPosition WindowPositionOf(const std::string& name, Micros now) const;
-  /// The sidecars whose positions are nearest on both sides, where the last one is next to the first.
+  /// Returns the sidecars with the nearest positions on both sides, on a ring of all positions.
   Neighbors NeighborsOf(const std::string& name, Micros now) const;
-  /// The sidecars whose watch this process itself has received after `since`.
+  /// Returns the sidecars whose last watch call this process received after `since`.
   std::vector<SidecarLastSeen> LastSeenSince(Micros since, Micros now) const;
 
  private:
   struct Sidecar {
     std::string address;
-    Micros last_seen_at = 0;   // at any control process
-    Micros last_watch_at = 0;  // at this one; 0: never
+    Micros last_seen_at = 0;   // time of the last watch at any control process
+    Micros last_watch_at = 0;  // time of the last watch at this process; 0: never
   };
 
   static bool IsLive(const Sidecar& sidecar, Micros now);
--- a/src/control/instances/deregistrations.cpp
+++ b/src/control/instances/deregistrations.cpp
@@ -5,7 +5,7 @@
 namespace violetwing {
 namespace {
 
-// Ids are never reused and heartbeats are late by seconds at most, so that the oldest ids may be forgotten.
+// The oldest ids can be evicted safely: ids are never reused, and heartbeats are delayed by seconds at most.
 constexpr std::size_t kMaxEntries = 4000;
 
 }  // namespace
--- a/src/control/instances/deregistrations.hpp
+++ b/src/control/instances/deregistrations.hpp
@@ -1,5 +1,6 @@
-// The replicated state of a shard of services: the instances that have announced that they leave. It outlives
-// the process that accepted the announcement, so that no other one revives the instance by a late heartbeat.
+// The replicated state of a shard of services: the instances that have announced their shutdown. It survives
+// the process that accepted the announcement, so that a late heartbeat to another process cannot make the
+// instance ready again.
 #ifndef VIOLETWING_CONTROL_INSTANCES_DEREGISTRATIONS_HPP_
 #define VIOLETWING_CONTROL_INSTANCES_DEREGISTRATIONS_HPP_
 
@@ -12,24 +13,25 @@
 
 namespace violetwing {
 
-/// Draining and deregistered instances, a bounded number: the oldest are forgotten first.
+/// A bounded number of draining and deregistered instances, of which the oldest are evicted first.
 class Deregistrations {
  public:
-  /// `phase` is kDraining or kDeregistered. A deregistered instance does not return to draining.
+  /// Records the phase of an instance, which must be kDraining or kDeregistered. A deregistered instance does
+  /// not return to draining.
   void Apply(const std::string& id, Phase phase);
-  /// The phase of the instance; empty if it has announced nothing.
+  /// Returns the phase of the instance; empty if it has not announced a shutdown or was evicted.
   std::optional<Phase> Find(const std::string& id) const;
-  /// By instance id.
+  /// Phases by instance id.
   const std::map<std::string, Phase>& all() const { return phases_; }
 
-  /// The state as JSON, for a snapshot of the shard; the form on disk.
+  /// Returns the state as JSON, in the form that snapshots of the shard store.
   std::string Save() const;
-  /// Replaces the state by a saved one. False if it cannot be read; the state is then unspecified.
+  /// Replaces the state with a saved one. Returns false if it cannot be read; the state is then unspecified.
   [[nodiscard]] bool Load(const std::string& saved);
 
  private:
   std::map<std::string, Phase> phases_;  // by instance id
-  std::deque<std::string> order_;        // ids by their first announcement, the oldest first
+  std::deque<std::string> order_;        // ids in the order of their first announcement, the oldest first
 };
 
 }  // namespace violetwing
--- a/src/control/instances/instance_table.cpp
+++ b/src/control/instances/instance_table.cpp
@@ -6,13 +6,15 @@
 namespace violetwing {
 namespace {
 
-// Records of lost and deregistered instances stay for so long, so that all readers learn of the change.
-constexpr Micros kForgetAfter = 30'000'000;
-// A pause between two calls of `Expire` from which on this process itself has been suspended.
-constexpr Micros kSuspendedAfter = 700'000;
+// Records of lost and deregistered instances are retained for this long, so that all readers receive the
+// change.
+constexpr Micros kRemoveAfter = 30'000'000;
+// Minimum pause between two calls of `Expire` after which this process is considered to have been suspended.
+constexpr Micros kSuspensionThreshold = 700'000;
 
 constexpr Micros kMicrosPerMs = 1000;
 
+// Returns whether the last change of the instance is missing in the reader's version vector.
 bool IsUnknownTo(const VersionVector& reader, const Instance& instance) {
   const auto known = reader.find(instance.origin);
   return known == reader.end() || instance.counter > known->second;
@@ -76,7 +78,7 @@
 }
 
 void InstanceTable::MergeChanges(const std::vector<Instance>& changed, Micros now) {
-  // Compared with the vector of before: the changes of one origin come in any order.
+  // Compares with the vector before the merge, because the changes of one origin arrive in any order.
   const VersionVector before = version_vector_;
   for (const Instance& instance : changed) {
     if (!IsUnknownTo(before, instance)) continue;
@@ -92,7 +94,7 @@
   records_.modify(it, [&](Record& record) {
     Instance& known = record.instance;
     const Phase phase = MergePhase(known.phase, received.phase);
-    if (received.sequence < known.sequence) return MergeOlder(known, received.phase, phase);
+    if (received.sequence < known.sequence) return MergeStale(known, received.phase, phase);
     const bool later_heartbeat = received.sequence > known.sequence;
     if (later_heartbeat && received.phase == Phase::kReady) record.last_seen_at = now;
     known = received;
@@ -102,8 +104,9 @@
   });
 }
 
-// The record here is by a later heartbeat. A new version of it corrects the readers of the other process.
-void InstanceTable::MergeOlder(Instance& known, Phase received, Phase merged) {
+// Merges a record with an older heartbeat than `known`. If that record says that the instance is lost, a new
+// version of `known` corrects the readers of the other process.
+void InstanceTable::MergeStale(Instance& known, Phase received, Phase merged) {
   if (merged == known.phase && received != Phase::kLost) return;
   if (IsLeaving(merged)) known.phase = merged;
   AssignVersion(known);
@@ -142,19 +145,20 @@
 }
 
 void InstanceTable::Expire(Micros now, bool has_quorum_contact) {
-  const bool was_suspended = now - last_expire_at_ >= kSuspendedAfter;
+  const bool was_suspended = now - last_expire_at_ >= kSuspensionThreshold;
   const bool may_declare_lost = has_quorum_contact && !was_suspended;
   last_expire_at_ = now;
   for (auto it = records_.begin(); it != records_.end();) {
-    const Micros unseen_for = now - it->last_seen_at;
+    const Micros since_last_seen = now - it->last_seen_at;
     const Phase phase = it->instance.phase;
-    const bool ended = phase == Phase::kDeregistered || phase == Phase::kLost;
-    if (ended && unseen_for > kForgetAfter) {
+    const bool inactive = phase == Phase::kDeregistered || phase == Phase::kLost;
+    if (inactive && since_last_seen > kRemoveAfter) {
       it = records_.erase(it);
       continue;
     }
-    if (!ended && !may_declare_lost) records_.modify(it, [&](Record& record) { record.last_seen_at = now; });
-    if (phase == Phase::kReady && may_declare_lost && unseen_for > lost_after_)
+    if (!inactive && !may_declare_lost)
+      records_.modify(it, [&](Record& record) { record.last_seen_at = now; });
+    if (phase == Phase::kReady && may_declare_lost && since_last_seen > lost_after_)
       records_.modify(it, [&](Record& record) {
         record.instance.phase = Phase::kLost;
         AssignVersion(record.instance);
@@ -163,7 +167,7 @@
   }
 }
 
-// Most readers have seen all changes: this tells so without a look at the records.
+// Most readers have seen all changes; this detects them without iterating over the records.
 bool InstanceTable::IsCoveredBy(const VersionVector& reader) const {
   return std::all_of(version_vector_.begin(), version_vector_.end(), [&](const auto& version) {
     const auto known = reader.find(version.first);
--- a/src/messages/decode.hpp
+++ b/src/messages/decode.hpp
@@ -1,4 +1,4 @@
-// The decoder of internal messages, specialized beside each message type.
+// The decoder of internal messages. Specializations are declared next to each message type.
 #ifndef VIOLETWING_MESSAGES_DECODE_HPP_
 #define VIOLETWING_MESSAGES_DECODE_HPP_
 
@@ -7,8 +7,8 @@
 
 namespace violetwing {
 
-/// Decodes a message of type `Message`. Empty if the bytes are not such a message, or if a field is missing
-/// that is required on the wire.
+/// Decodes a message of type `Message`. Returns an empty optional if the bytes are not such a message or a
+/// required field is missing.
 template <class Message>
 std::optional<Message> Decode(const std::string& bytes);
 
--- a/src/messages/decode_error.cpp
+++ b/src/messages/decode_error.cpp
@@ -12,13 +12,13 @@
   std::string message(int error) const override {
     switch (static_cast<DecodeErrc>(error)) {
       case DecodeErrc::kMalformed:
-        return "the bytes are malformed";
+        return "message is malformed";
       case DecodeErrc::kUnknownKind:
-        return "the kind is unknown";
+        return "message kind is unknown";
       case DecodeErrc::kAmbiguousKind:
-        return "two kinds are claimed";
+        return "message has more than one kind";
       case DecodeErrc::kChecksumMismatch:
-        return "the checksum does not match";
+        return "checksum mismatch";
     }
     return "unknown error " + std::to_string(error);
   }
--- a/src/messages/decode_error.hpp
+++ b/src/messages/decode_error.hpp
@@ -1,4 +1,4 @@
-// The errors of decoding stored bytes: log entries, snapshots and commands.
+// Errors of decoding stored data: log entries, snapshots and commands.
 #ifndef VIOLETWING_MESSAGES_DECODE_ERROR_HPP_
 #define VIOLETWING_MESSAGES_DECODE_ERROR_HPP_
 
@@ -6,15 +6,15 @@
 
 namespace violetwing {
 
-/// Error codes of the decoders of stored bytes, of category DecodeCategory().
+/// Error codes of the decoders of stored data, in the category DecodeCategory().
 enum class DecodeErrc {
-  /// The bytes are no message of the expected type, or a required field is missing.
+  /// The bytes are not a message of the expected type, or a required field is missing.
   kMalformed = 1,
-  /// The message is of no kind that this version knows.
+  /// This version does not know the message's kind.
   kUnknownKind,
-  /// The message claims to be of two kinds.
+  /// The message has more than one kind.
   kAmbiguousKind,
-  /// The bytes have changed since they were written.
+  /// The checksum does not match: the bytes have changed since they were written.
   kChecksumMismatch,
 };
 
--- a/src/messages/load.cpp
+++ b/src/messages/load.cpp
@@ -9,11 +9,11 @@
   wire::LoadReport out;
   out.set_node(report.node);
   for (const SentPrompt& prompt : report.prompts) {
-    wire::SentPrompt& one = *out.add_prompts();
-    one.set_server(prompt.server);
-    one.set_weights(prompt.weights);
-    one.set_parts(prompt.parts);
-    one.set_read_ms(prompt.read_ms);
+    wire::SentPrompt& encoded = *out.add_prompts();
+    encoded.set_server(prompt.server);
+    encoded.set_weights(prompt.weights);
+    encoded.set_parts(prompt.parts);
+    encoded.set_read_ms(prompt.read_ms);
   }
   return out.SerializeAsString();
 }
@@ -23,8 +23,8 @@
   if (!in) return std::nullopt;
   LoadReport report;
   report.node = in->node();
-  for (const wire::SentPrompt& one : in->prompts())
-    report.prompts.push_back({one.server(), one.weights(), one.parts(), one.read_ms()});
+  for (const wire::SentPrompt& encoded : in->prompts())
+    report.prompts.push_back({encoded.server(), encoded.weights(), encoded.parts(), encoded.read_ms()});
   return report;
 }
 
--- a/src/messages/load.hpp
+++ b/src/messages/load.hpp
@@ -1,5 +1,5 @@
-// Load reports: the prompts that a sidecar has sent to model servers, for its neighbors. One datagram per
-// report; a lost report is not sent again, and the receivers then do not count its prompts.
+// Load reports inform a sidecar's neighbors of the prompts that it has sent to model servers. Each report is
+// one datagram. Lost reports are not retransmitted, and the receivers then miss the load of their prompts.
 #ifndef VIOLETWING_MESSAGES_LOAD_HPP_
 #define VIOLETWING_MESSAGES_LOAD_HPP_
 
@@ -10,11 +10,11 @@
 
 namespace violetwing {
 
-/// A prompt that was sent to a server, whose prefix cache holds its parts from now on.
+/// A prompt that was sent to a server. The server's prefix cache is assumed to hold its parts afterwards.
 struct SentPrompt {
   std::string server;   ///< instance id
   std::string weights;  ///< "model" or "model/adapter"
-  std::string parts;    ///< prompt parts, in the form of the header X-Violetwing-Prompt-Prefix
+  std::string parts;    ///< prompt parts, in the format of the header X-Violetwing-Prompt-Prefix
   double read_ms = 0;   ///< expected prefill time on that server, in milliseconds
 };
 
@@ -24,9 +24,9 @@
   std::vector<SentPrompt> prompts;
 };
 
-/// The report as one datagram (protocol buffers).
+/// Encodes the report as one datagram (protocol buffers).
 std::string Encode(const LoadReport& report);
-/// Empty if the bytes are not a report, or if a field is missing.
+/// Decodes a report. Returns an empty optional if the bytes are not a report or a required field is missing.
 std::optional<LoadReport> DecodeLoadReport(std::string_view bytes);
 
 }  // namespace violetwing
--- a/src/messages/parse.hpp
+++ b/src/messages/parse.hpp
@@ -1,4 +1,4 @@
-// Parsing of protocol buffers that other processes sent. Nothing is logged here: callers log what fails.
+// Parses protocol buffers received from other processes. Does not log: callers log failures.
 #ifndef VIOLETWING_MESSAGES_PARSE_HPP_
 #define VIOLETWING_MESSAGES_PARSE_HPP_
 
@@ -7,7 +7,8 @@
 
 namespace violetwing::wire {
 
-/// Parses `bytes` as a `Message`. Empty if they are not such a message, or if a required field is missing.
+/// Parses `bytes` as a `Message`. Returns an empty optional if they are not such a message or a required
+/// field is missing.
 template <class Message>
 std::optional<Message> Parse(std::string_view bytes) {
   std::optional<Message> parsed(std::in_place);
--- a/src/messages/phase_name.hpp
+++ b/src/messages/phase_name.hpp
@@ -1,4 +1,4 @@
-// The phases of an instance as logs name them.
+// Names of instance phases for log lines.
 #ifndef VIOLETWING_MESSAGES_PHASE_NAME_HPP_
 #define VIOLETWING_MESSAGES_PHASE_NAME_HPP_
 
@@ -6,7 +6,7 @@
 
 namespace violetwing {
 
-/// The name of a phase in logs.
+/// Returns the name of a phase for log lines.
 inline const char* Name(Phase phase) {
   switch (phase) {
     case Phase::kReady:
--- a/src/messages/usage.hpp
+++ b/src/messages/usage.hpp
@@ -1,4 +1,4 @@
-// Counts of the requests that began to run, as sidecars report them to control processes.
+// Counts of started requests, which sidecars report to control processes.
 #ifndef VIOLETWING_MESSAGES_USAGE_HPP_
 #define VIOLETWING_MESSAGES_USAGE_HPP_
 
@@ -8,17 +8,18 @@
 
 namespace violetwing {
 
-/// The requests of one tenant that began to run within one window, as seen by one reporter so far. Counts
-/// only rise, so that of two reports the higher one holds, in whatever order and however often they arrive.
+/// The number of requests of one tenant that one reporter has seen start within one window so far. Counts
+/// only increase, so the maximum of several reports is correct even if they arrive out of order or
+/// repeatedly.
 struct UsageCount {
-  std::int64_t window = 0;  ///< number of the window: it begins `window` times its length after 1970 began
+  std::int64_t window = 0;  ///< window number: the window starts `window` window lengths after the Unix epoch
   std::string tenant;
   std::uint64_t count = 0;
 };
 
-/// What one reporter has counted.
+/// The counts of one reporter.
 struct UsageReport {
-  std::string reporter;  ///< unique to one run of a sidecar
+  std::string reporter;  ///< unique for each run of a sidecar
   std::vector<UsageCount> counts;
 };
 
--- a/src/messages/wire_conversion.cpp
+++ b/src/messages/wire_conversion.cpp
@@ -96,21 +96,21 @@
 }
 
 void ToWire(const std::vector<ModelDemand>& demand, wire::Demand& out) {
-  for (const ModelDemand& one : demand) {
+  for (const ModelDemand& item : demand) {
     wire::ModelDemand& model = *out.add_models();
-    model.set_backend(one.backend);
-    model.set_model(one.model);
-    model.set_requests(one.requests);
-    model.set_tokens(one.tokens);
-    model.set_waiting(one.waiting);
+    model.set_backend(item.backend);
+    model.set_model(item.model);
+    model.set_requests(item.requests);
+    model.set_tokens(item.tokens);
+    model.set_waiting(item.waiting);
   }
 }
 
 std::vector<ModelDemand> FromWire(const wire::Demand& in) {
   std::vector<ModelDemand> out;
   out.reserve(static_cast<std::size_t>(in.models_size()));
-  for (const wire::ModelDemand& one : in.models())
-    out.push_back({one.backend(), one.model(), one.requests(), one.tokens(), one.waiting()});
+  for (const wire::ModelDemand& item : in.models())
+    out.push_back({item.backend(), item.model(), item.requests(), item.tokens(), item.waiting()});
   return out;
 }
 
@@ -139,18 +139,18 @@
 
 void ToWire(const UsageReport& report, wire::UsageReport& out) {
   out.set_reporter(report.reporter);
-  for (const UsageCount& one : report.counts) {
+  for (const UsageCount& item : report.counts) {
     wire::UsageCount& count = *out.add_counts();
-    count.set_window(one.window);
-    count.set_tenant(one.tenant);
-    count.set_count(one.count);
+    count.set_window(item.window);
+    count.set_tenant(item.tenant);
+    count.set_count(item.count);
   }
 }
 
 UsageReport FromWire(const wire::UsageReport& in) {
   UsageReport report{in.reporter(), {}};
-  for (const wire::UsageCount& one : in.counts())
-    report.counts.push_back({one.window(), one.tenant(), one.count()});
+  for (const wire::UsageCount& item : in.counts())
+    report.counts.push_back({item.window(), item.tenant(), item.count()});
   return report;
 }
 
--- a/src/messages/wire_conversion.hpp
+++ b/src/messages/wire_conversion.hpp
@@ -20,8 +20,8 @@
 
 namespace violetwing {
 
-/// Each adds the items of its first argument to `out`. An enumerator that the wire does not know reads back
-/// as the ready phase.
+/// Each converts its first argument into `out`; lists are appended. A phase without a value on the wire is
+/// encoded as the ready phase.
 void ToWire(const std::vector<Instance>& instances, wire::Instances& out);
 void ToWire(const VersionVector& version_vector, wire::VersionVector& out);
 void ToWire(const std::vector<ModelDemand>& demand, wire::Demand& out);
@@ -29,7 +29,7 @@
 void ToWire(const std::vector<ControlNode>& nodes, wire::ControlNodes& out);
 void ToWire(const UsageReport& report, wire::UsageReport& out);
 
-/// The reverse of ToWire. All required fields are there: Parse has checked that.
+/// The inverse of ToWire. All required fields must be present, which Parse has checked.
 std::vector<Instance> FromWire(const wire::Instances& in);
 VersionVector FromWire(const wire::VersionVector& in);
 std::vector<ModelDemand> FromWire(const wire::Demand& in);
--- a/tests/control/configuration/configuration_test.cpp
+++ b/tests/control/configuration/configuration_test.cpp
@@ -1,4 +1,4 @@
-// Reading, checking and changing the operator's configuration.
+// Tests reading, validating and changing the operator's configuration.
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 
@@ -35,7 +35,7 @@
   return state.Apply({false, base, document.dump()});
 }
 
-ChangeOutcome PatchWith(State& state, std::int64_t base, const json& patch) {
+ChangeOutcome Patch(State& state, std::int64_t base, const json& patch) {
   return state.Apply({true, base, patch.dump()});
 }
 
@@ -82,18 +82,18 @@
                                           FindingCode::kUnknownReference, FindingCode::kDuplicate,
                                           FindingCode::kUnknownValue});
   REQUIRE(Read("{").findings.size() == 1);
-  CHECK(Read("{").findings[0].code == FindingCode::kUnreadable);
+  CHECK(Read("{").findings[0].code == FindingCode::kMalformed);
 }
 
 TEST_CASE("A truncated document is invalid") {
-  const std::string whole = Document(3).dump();
+  const std::string complete = Document(3).dump();
   State state;
-  for (std::size_t size = 0; size + 1 < whole.size(); size += 97)
-    CHECK(state.Apply({false, 0, whole.substr(0, size)}).status == ChangeStatus::kInvalid);
+  for (std::size_t size = 0; size + 1 < complete.size(); size += 97)
+    CHECK(state.Apply({false, 0, complete.substr(0, size)}).status == ChangeStatus::kInvalid);
   CHECK(state.version() == 0);
 }
 
-TEST_CASE("Versions increase, and a change must build upon the version in force") {
+TEST_CASE("Versions increase, and a change must be based on the current version") {
   State state;
   CHECK(Put(state, 0, Document(3)).status == ChangeStatus::kAccepted);
   CHECK(Put(state, 0, Document(5)).status == ChangeStatus::kVersionConflict);
@@ -104,7 +104,7 @@
 }
 
 TEST_CASE(
-    "Of two changes of one version to the same new version, one is accepted and acknowledged when repeated") {
+    "Of two changes from one version to one new version, one is accepted and acknowledged again on retry") {
   State state;
   REQUIRE(Put(state, 0, Document(3)).status == ChangeStatus::kAccepted);
   json first = Document(5);
@@ -114,12 +114,12 @@
   CHECK(Put(state, 3, second).status == ChangeStatus::kVersionConflict);
   CHECK(Put(state, 3, first).status == ChangeStatus::kAccepted);
   CHECK(Put(state, 5, Document(8)).status == ChangeStatus::kAccepted);
-  // Accepted long ago, and acknowledged once more.
+  // A retry of a change that was accepted before the current version.
   CHECK(Put(state, 3, first).status == ChangeStatus::kAccepted);
   CHECK(state.version() == 8);
 }
 
-TEST_CASE("A patch adds, replaces and removes items by name, and leaves the rest as it was sent") {
+TEST_CASE("A patch adds, replaces and removes items by name and keeps the other items unchanged") {
   State state;
   REQUIRE(Put(state, 0, Document(3)).status == ChangeStatus::kAccepted);
   json route = Document(3)["routes"][0];
@@ -128,13 +128,13 @@
   const json patch{{"version", 4},
                    {"upsert", {{"routes", json::array({route})}}},
                    {"delete", {{"routes", json::array({"r1", "never there"})}}}};
-  CHECK(PatchWith(state, 3, patch).status == ChangeStatus::kAccepted);
-  const json now = json::parse(state.document());
-  CHECK(now["version"] == 4);
-  REQUIRE(now["routes"].size() == 2);
-  CHECK(now["routes"][0] == Document(3)["routes"][1]);
-  CHECK(now["routes"][1] == route);
-  CHECK(now["backends"] == Document(3)["backends"]);
+  CHECK(Patch(state, 3, patch).status == ChangeStatus::kAccepted);
+  const json patched = json::parse(state.document());
+  CHECK(patched["version"] == 4);
+  REQUIRE(patched["routes"].size() == 2);
+  CHECK(patched["routes"][0] == Document(3)["routes"][1]);
+  CHECK(patched["routes"][1] == route);
+  CHECK(patched["backends"] == Document(3)["backends"]);
 }
 
 TEST_CASE("An invalid patch changes nothing") {
@@ -152,25 +152,25 @@
   }
 }
 
-TEST_CASE("A snapshot that cannot be read, or whose document is refused, is not taken for an empty one") {
+TEST_CASE("Loading a snapshot fails if it cannot be read or its document is invalid") {
   State state;
   REQUIRE(Put(state, 0, Document(3)).status == ChangeStatus::kAccepted);
   const std::string saved = state.Save();
-  json refused = json::parse(saved);
-  refused["document"] = R"({"version": 3, "routes": [{"name": "r"}]})";
+  json invalid = json::parse(saved);
+  invalid["document"] = R"({"version": 3, "routes": [{"name": "r"}]})";
   json unreadable = json::parse(saved);
   unreadable["document"] = "{";
   json without_digests = json::parse(saved);
   without_digests.erase("taken");
   for (const std::string& text : {std::string(), saved.substr(0, saved.size() / 2), std::string("[]"),
-                                  refused.dump(), unreadable.dump(), without_digests.dump()}) {
+                                  invalid.dump(), unreadable.dump(), without_digests.dump()}) {
     INFO(text);
     State loaded;
     CHECK_FALSE(loaded.Load(text));
   }
 }
 
-TEST_CASE("Loading a snapshot restores the state with its accepted changes") {
+TEST_CASE("Loading a snapshot restores the state, including the accepted changes") {
   State state;
   REQUIRE(Put(state, 0, Document(3)).status == ChangeStatus::kAccepted);
   REQUIRE(Put(state, 3, Document(5)).status == ChangeStatus::kAccepted);
@@ -187,12 +187,12 @@
 
 constexpr std::int64_t kMaxEntries = AcceptedChanges::kMaxEntries;
 
-// The smallest document of a version.
+// Returns the smallest valid document of a version.
 json MinimalDocument(std::int64_t version) {
   return {{"version", version}, {"routes", json::array()}, {"backends", json::array()}};
 }
 
-// Applies the changes that lead to the versions 1 to `last`.
+// Applies changes until the state has version `last`.
 void ApplyMany(State& state, std::int64_t last) {
   for (std::int64_t version = state.version() + 1; version <= last; ++version)
     REQUIRE(Put(state, version - 1, MinimalDocument(version)).status == ChangeStatus::kAccepted);
@@ -201,7 +201,7 @@
 }  // namespace
 
 TEST_CASE(
-    "A change repeated after hundreds of others is acknowledged, another one on its version is a conflict") {
+    "A change retried after hundreds of others is acknowledged, a different one from its version conflicts") {
   State state;
   ApplyMany(state, 900);
   CHECK(Put(state, 4, MinimalDocument(5)).status == ChangeStatus::kAccepted);
@@ -209,14 +209,14 @@
   CHECK(state.version() == 900);
 }
 
-TEST_CASE("The status of a change older than the accepted changes kept is unknown, never a refusal") {
+TEST_CASE("A change older than all retained accepted changes has status unknown and is never rejected") {
   State state;
   ApplyMany(state, kMaxEntries + 10);
-  // Accepted, and forgotten.
+  // Accepted, but its digest was evicted.
   CHECK(Put(state, 9, MinimalDocument(10)).status == ChangeStatus::kUnknown);
   // Never sent.
   CHECK(Put(state, 9, MinimalDocument(11)).status == ChangeStatus::kUnknown);
-  // The oldest that is kept, and another one on the same version.
+  // The oldest change whose digest is retained, and a different change from the same version.
   CHECK(Put(state, 10, MinimalDocument(11)).status == ChangeStatus::kAccepted);
   CHECK(Put(state, 10, MinimalDocument(12)).status == ChangeStatus::kVersionConflict);
   State loaded;
@@ -226,22 +226,22 @@
   CHECK(Put(loaded, 10, MinimalDocument(12)).status == ChangeStatus::kVersionConflict);
 }
 
-TEST_CASE("The size of a snapshot is bounded, whatever the number of changes") {
-  constexpr std::size_t kMost = std::size_t{52} * 1024;
+TEST_CASE("The size of a snapshot is bounded regardless of the number of changes") {
+  constexpr std::size_t kMaxSnapshotBytes = std::size_t{52} * 1024;
   State state;
   ApplyMany(state, 1'000);
-  CHECK(state.Save().size() < kMost);
+  CHECK(state.Save().size() < kMaxSnapshotBytes);
   ApplyMany(state, 100'000);
-  CHECK(state.Save().size() < kMost);
+  CHECK(state.Save().size() < kMaxSnapshotBytes);
 }
 
 TEST_CASE(
-    "A snapshot of an earlier version, with an unbounded number of accepted changes, is read and bounded") {
+    "The accepted changes in a snapshot of an earlier version, which are unbounded, are bounded on loading") {
   State state;
   ApplyMany(state, kMaxEntries);
   json saved = json::parse(state.Save());
   saved.erase("horizon");
-  for (std::int64_t version = 1; version <= 20; ++version)  // older ones, which it kept too
+  for (std::int64_t version = 1; version <= 20; ++version)  // older changes, which that version also stored
     saved["taken"][DigestOf({false, 0, "old " + std::to_string(version)})] = -version;
   State loaded;
   REQUIRE(loaded.Load(saved.dump()));
@@ -251,7 +251,8 @@
 
 namespace {
 
-json RouteOf(Random& random, std::int64_t name) {
+// Returns a random route, which is invalid in some cases.
+json RandomRoute(Random& random, std::int64_t name) {
   json route{{"name", "r" + std::to_string(name)},
              {"hostname", "h" + std::to_string(random.Below(3)) + ".example"},
              {"path_prefix", "/" + std::to_string(random.Below(12)) + "/"},
@@ -266,10 +267,11 @@
   return route;
 }
 
-json PatchOf(Random& random, std::int64_t version) {
+// Returns a random patch, which is invalid in some cases.
+json RandomPatch(Random& random, std::int64_t version) {
   json patch{{"version", version}};
   for (std::uint64_t i = random.Below(3); i > 0; --i)
-    patch["upsert"]["routes"].push_back(RouteOf(random, static_cast<std::int64_t>(random.Below(12))));
+    patch["upsert"]["routes"].push_back(RandomRoute(random, static_cast<std::int64_t>(random.Below(12))));
   if (random.Below(3) == 0)
     patch["upsert"]["backends"].push_back(
         {{"name", "s" + std::to_string(random.Below(4))}, {"max_connections", random.Below(99)}});
@@ -280,7 +282,7 @@
   return patch;
 }
 
-// The fields that a patch may change.
+// Formats the fields that a patch may change, for comparison.
 std::string Describe(const Configuration& configuration) {
   std::string out = std::to_string(configuration.version);
   for (const Route& route : configuration.routes) {
@@ -295,7 +297,7 @@
 
 }  // namespace
 
-TEST_CASE("Reading only the patch gives the same configuration as reading the patched document") {
+TEST_CASE("Applying a patch to the parsed configuration is equivalent to reading the patched document") {
   Random random(1);
   int accepted = 0;
   int invalid = 0;
@@ -305,9 +307,9 @@
     for (int i = 0; i < 4; ++i) first["backends"].push_back({{"name", "s" + std::to_string(i)}});
     REQUIRE(Put(state, 0, first).status == ChangeStatus::kAccepted);
     for (std::int64_t version = 2; version < 60; ++version) {
-      const json patch = PatchOf(random, version);
+      const json patch = RandomPatch(random, version);
       const std::string before = state.document();
-      const ChangeStatus status = PatchWith(state, state.version(), patch).status;
+      const ChangeStatus status = Patch(state, state.version(), patch).status;
       REQUIRE(status != ChangeStatus::kVersionConflict);
       (status == ChangeStatus::kAccepted ? accepted : invalid) += 1;
       const ReadResult read = Read(state.document());
@@ -320,7 +322,7 @@
   CHECK(invalid > 200);
 }
 
-TEST_CASE("CONFIG: a configuration in which two tenants share a key is refused, with the key's place alone") {
+TEST_CASE("CONFIG: a key shared by two tenants is rejected, and the message has its path but not the key") {
   json document = Document(3);
   document["tenants"] = {{{"name", "alice"}, {"api_keys", {"key-a", "key-s"}}},
                          {{"name", "bob"}, {"api_keys", {"key-s"}}}};
@@ -331,7 +333,7 @@
   CHECK(outcome.message.find("key-s") == std::string::npos);
 }
 
-TEST_CASE("A key that is not a text is refused without being repeated") {
+TEST_CASE("A key that is not a string is rejected, and the finding does not contain it") {
   json document = Document(3);
   document["tenants"] = {{{"name", "alice"}, {"api_keys", {987654}}}};
   const std::vector<Finding> findings = FindingsOf(document);
@@ -339,8 +341,7 @@
   CHECK(ToText(findings).find("987654") == std::string::npos);
 }
 
-TEST_CASE(
-    "CONFIG: a patch of tenants adds and takes away keys, and leads to the same as the whole document") {
+TEST_CASE("CONFIG: a patch of tenants adds and removes keys, with the same result as reading the document") {
   json document = Document(3);
   document["tenants"] = {{{"name", "alice"}, {"api_keys", {"key-a"}}},
                          {{"name", "bob"}, {"api_keys", {"key-b"}}}};
@@ -349,7 +350,7 @@
   const json patch{{"version", 5},
                    {"upsert", {{"tenants", {{{"name", "alice"}, {"api_keys", {"key-c"}}, {"priority", 1}}}}}},
                    {"delete", {{"tenants", {"bob"}}}}};
-  REQUIRE(PatchWith(state, 3, patch).status == ChangeStatus::kAccepted);
+  REQUIRE(Patch(state, 3, patch).status == ChangeStatus::kAccepted);
   REQUIRE(state.current()->tenants.size() == 1);
   CHECK(state.current()->tenants[0].api_keys == std::vector<std::string>{"key-c"});
   CHECK(state.current()->tenants[0].priority == 1);
@@ -357,7 +358,7 @@
   CHECK(Read(state.document()).configuration->tenants[0].api_keys == state.current()->tenants[0].api_keys);
 }
 
-TEST_CASE("Members of a document that are not read are named, without their values") {
+TEST_CASE("IgnoredMembers lists the unknown members of a document without their values") {
   nlohmann::ordered_json document = nlohmann::ordered_json::parse(Document(3).dump());
   document["quotas"] = {{"secret", 1}};
   document["tenants"] = {{{"name", "alice"}, {"api_keys", {"key-a"}}, {"color", "red"}}};
--- a/tests/control/configuration/patches_test.cpp
+++ b/tests/control/configuration/patches_test.cpp
@@ -1,4 +1,4 @@
-// Recent patches, and how sidecars receive them instead of the whole document.
+// Tests the cache of recent patches, and that sidecars receive patches instead of the complete document.
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 
@@ -21,8 +21,8 @@
 
 double TimeoutOf(const configuration::State& state) { return state.current()->routes[0].timeout_ms; }
 
-// An answer to a sidecar that holds an earlier version.
-WatchReply ReplyOf(std::int64_t version, std::string document, Texts patches) {
+// Returns a reply to a sidecar that has an earlier version.
+WatchReply MakeReply(std::int64_t version, std::string document, Texts patches) {
   WatchReply reply;
   reply.configuration_version = version;
   reply.configuration_document = std::move(document);
@@ -32,23 +32,23 @@
 
 }  // namespace
 
-TEST_CASE("Since returns the patches from a version on, each of which builds upon the one before") {
+TEST_CASE("Since returns the consecutive patches from a version to the latest one") {
   RecentPatches patches;
   CHECK_FALSE(patches.Since(1));
   patches.Add(1, 2, "a");
   patches.Add(2, 5, "b");
   CHECK(patches.Since(1) == Texts{"a", "b"});
   CHECK(patches.Since(2) == Texts{"b"});
-  CHECK_FALSE(patches.Since(3));  // between two of them
-  CHECK_FALSE(patches.Since(5));  // the latest: nothing leads on
-  patches.Add(7, 8, "c");         // what led to 7 is not known
+  CHECK_FALSE(patches.Since(3));  // a version that no patch produced
+  CHECK_FALSE(patches.Since(5));  // the latest version
+  patches.Add(7, 8, "c");         // there is no patch to version 7
   CHECK_FALSE(patches.Since(2));
   CHECK(patches.Since(7) == Texts{"c"});
   patches.Clear();
   CHECK_FALSE(patches.Since(7));
 }
 
-TEST_CASE("The oldest patches are dropped beyond the size limit, and one above it is not kept") {
+TEST_CASE("The oldest patches are evicted beyond the size limit, and a patch above the limit is not stored") {
   RecentPatches patches;
   const std::string half(RecentPatches::kMaxBytes / 2, 'x');
   for (std::int64_t version = 1; version <= 3; ++version) patches.Add(version, version + 1, half);
@@ -69,7 +69,7 @@
   CHECK(state.PatchesSince(1)->size() == 1);
   REQUIRE(state.Apply({true, 2, PatchDocument(3, 3000)}).status == configuration::ChangeStatus::kAccepted);
   CHECK(state.PatchesSince(2)->size() == 1);
-  CHECK_FALSE(state.PatchesSince(1));  // two are longer than this short document
+  CHECK_FALSE(state.PatchesSince(1));  // two patches together are longer than this short document
   REQUIRE(state.Apply({false, 3, Document(4)}).status == configuration::ChangeStatus::kAccepted);
   CHECK_FALSE(state.PatchesSince(2));
   CHECK_FALSE(state.PatchesSince(3));
@@ -82,40 +82,41 @@
   CHECK(TimeoutOf(loaded) == 5000);
 }
 
-TEST_CASE("A sidecar applies patches to its version, and requests the whole document if they do not fit") {
+TEST_CASE("A sidecar applies patches to its version, and requests the complete document if that fails") {
   SystemView view("edge");
-  CHECK_FALSE(view.NextWatchRequest(0, {}).accepts_patches);  // it holds nothing yet
-  CHECK_FALSE(view.Apply(ReplyOf(2, "", {PatchDocument(2, 2000)})));
-  REQUIRE(view.Apply(ReplyOf(1, Document(1), {})));
+  CHECK_FALSE(view.NextWatchRequest(0, {}).accepts_patches);  // it has no configuration yet
+  CHECK_FALSE(view.Apply(MakeReply(2, "", {PatchDocument(2, 2000)})));
+  REQUIRE(view.Apply(MakeReply(1, Document(1), {})));
   CHECK(view.NextWatchRequest(0, {}).accepts_patches);
-  REQUIRE(view.Apply(ReplyOf(3, "", {PatchDocument(2, 2000), PatchDocument(3, 3000)})));
+  REQUIRE(view.Apply(MakeReply(3, "", {PatchDocument(2, 2000), PatchDocument(3, 3000)})));
   CHECK(view.version() == 3);
-  for (const Texts& unfit :
+  // A malformed patch, an invalid one, one to another version, and one that is not an object.
+  for (const Texts& inapplicable :
        {Texts{"{"}, Texts{PatchDocument(4, 0)}, Texts{PatchDocument(4, 4000)}, Texts{"[]"}}) {
-    CHECK_FALSE(view.Apply(ReplyOf(5, "", unfit)));  // unreadable, invalid, to another version, no patch
+    CHECK_FALSE(view.Apply(MakeReply(5, "", inapplicable)));
     CHECK(view.version() == 3);
     CHECK_FALSE(view.NextWatchRequest(0, {}).accepts_patches);
   }
-  REQUIRE(view.Apply(ReplyOf(5, Document(5), {})));
+  REQUIRE(view.Apply(MakeReply(5, Document(5), {})));
   CHECK(view.version() == 5);
   CHECK(view.NextWatchRequest(0, {}).accepts_patches);
-  CHECK_FALSE(view.Apply(ReplyOf(4, "", {PatchDocument(4, 4000)})));  // an answer that comes late
+  CHECK_FALSE(view.Apply(MakeReply(4, "", {PatchDocument(4, 4000)})));  // a delayed reply
   CHECK(view.version() == 5);
 }
 
-TEST_CASE("Cores: a patch reaches all sidecars without the whole document being sent") {
-  constexpr Micros kMost = 10'000'000;
+TEST_CASE("Cores: a patch reaches all sidecars without sending the complete document") {
+  constexpr Micros kTimeout = 10'000'000;
   VirtualSystem system(3, 4, 1);
   const auto change = [&](const std::string& method, std::int64_t base, const std::string& body) {
     int status = 0;
-    const auto call = [&](std::size_t at) {
+    const auto call = [&](std::size_t control) {
       status = 0;
-      system.CallPublic(at, method, "/api/configuration", body, base,
-                        [&](int got, const std::string&) { status = got; });
-      return system.RunUntil([&] { return status != 0; }, kMost) && status == 200;
+      system.CallPublic(control, method, "/api/configuration", body, base,
+                        [&](int response_status, const std::string&) { status = response_status; });
+      return system.RunUntil([&] { return status != 0; }, kTimeout) && status == 200;
     };
-    std::size_t at = 0;
-    while (at < 30 && !call(at % system.controls())) ++at;
+    std::size_t attempt = 0;
+    while (attempt < 30 && !call(attempt % system.controls())) ++attempt;
     CHECK(status == 200);
   };
   const auto await = [&](std::int64_t version) {
@@ -125,7 +126,7 @@
             if (system.sidecar(i).view->version() != version) return false;
           return true;
         },
-        kMost));
+        kTimeout));
   };
   change("PUT", 0, Document(1));
   await(1);
@@ -133,10 +134,10 @@
   int patches = 0;
   system.tamper = [&](WireMessage& message) {
     if (message.path != kWatchPath || !message.is_response) return;
-    const auto answer = Decode<WatchReply>(message.body);
-    if (!answer) return;
-    documents += answer->configuration_document.empty() ? 0 : 1;
-    patches += answer->configuration_patches.empty() ? 0 : 1;
+    const auto reply = Decode<WatchReply>(message.body);
+    if (!reply) return;
+    documents += reply->configuration_document.empty() ? 0 : 1;
+    patches += reply->configuration_patches.empty() ? 0 : 1;
   };
   for (std::int64_t version = 2; version <= 6; ++version) {
     change("PATCH", version - 1, PatchDocument(version, static_cast<int>(version) * 1000));
--- a/tests/control/instances/instances_test.cpp
+++ b/tests/control/instances/instances_test.cpp
@@ -1,4 +1,5 @@
-// The instance table and the deregistrations: heartbeats, expiry and anti-entropy between control processes.
+// Tests the instance table and the deregistrations: heartbeats, expiry and anti-entropy between control
+// processes.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -22,13 +23,13 @@
 
 Phase PhaseOf(const InstanceTable& table, const std::string& id) { return table.Find(id)->instance.phase; }
 
-// One exchange: `to` takes what it lacks from `from`.
+// Simulates one exchange in which `to` merges the changes and last-seen times of `from`.
 void Exchange(const InstanceTable& from, InstanceTable& to, std::int64_t now) {
   to.MergeChanges(from.ChangedSince(to.version_vector()), now);
   for (const LastSeen& seen : from.LastSeenSince(0, now)) to.MergeLastSeen(seen, now);
 }
 
-// Expires at short intervals: a long pause would be taken for a suspension of the process.
+// Advances the time and calls Expire at short intervals, because a long pause would count as a suspension.
 void Advance(InstanceTable& table, std::int64_t& now, std::int64_t duration, bool has_quorum_contact = true) {
   for (const std::int64_t until = now + duration; now < until;)
     table.Expire(now += kSecond / 10, has_quorum_contact);
@@ -36,7 +37,7 @@
 
 }  // namespace
 
-TEST_CASE("A late heartbeat never revives a draining or deregistered instance") {
+TEST_CASE("A late heartbeat never makes a draining or deregistered instance ready") {
   InstanceTable table("a", kLostAfter);
   CHECK(table.Heartbeat(Server("i", 5), kSecond));
   table.ApplyDeregistration("i", Phase::kDraining, kSecond);
@@ -94,14 +95,14 @@
   CHECK(PhaseOf(table, "i") == Phase::kReady);
 }
 
-TEST_CASE("A wrongly lost instance is ready again also for readers of the process that declared it lost") {
+TEST_CASE("An instance wrongly declared lost is also corrected for readers of the process that declared it") {
   InstanceTable a("a", kLostAfter);
   InstanceTable b("b", kLostAfter);
   std::int64_t now = kSecond;
   a.Heartbeat(Server("i", 1), now);
   Exchange(a, b, now);
   Advance(b, now, kLostAfter + kSecond);      // no heartbeat reaches b
-  VersionVector reader = b.version_vector();  // a sidecar whose last watch was at b
+  VersionVector reader = b.version_vector();  // of a sidecar whose last watch call was to b
   REQUIRE(PhaseOf(b, "i") == Phase::kLost);
   a.Heartbeat(Server("i", 4), now);
   Exchange(b, a, now);
@@ -109,7 +110,7 @@
   CHECK(a.ChangedSince(reader)[0].phase == Phase::kReady);
 }
 
-TEST_CASE("ChangedSince returns what a version vector lacks, and nothing twice") {
+TEST_CASE("ChangedSince returns only the changes missing in a version vector") {
   InstanceTable a("a", kLostAfter);
   for (int i = 0; i < 10; ++i)
     a.Heartbeat(Server("i" + std::to_string(i), 1, "10.0.0.1:" + std::to_string(100 + i)), kSecond);
@@ -118,13 +119,13 @@
   CHECK(b.size() == 10);
   CHECK_FALSE(a.HasUpdatesFor(b.version_vector()));
   a.Heartbeat(Server("i3", 2, "10.0.0.1:103"), kSecond);
-  CHECK_FALSE(a.HasUpdatesFor(b.version_vector()));  // nothing but the sequence has changed
+  CHECK_FALSE(a.HasUpdatesFor(b.version_vector()));  // only the sequence has changed
   a.SetModels("i3", {{"m", 1, {}}});
   REQUIRE(a.ChangedSince(b.version_vector()).size() == 1);
   CHECK(a.ChangedSince(b.version_vector())[0].id == "i3");
 }
 
-TEST_CASE("MergeChanges takes all changes in whatever order they come") {
+TEST_CASE("MergeChanges applies all changes regardless of their order") {
   InstanceTable a("a", kLostAfter);
   for (int i = 0; i < 50; ++i)
     a.Heartbeat(Server("i" + std::to_string(i * 7919 % 1000), 1, "10.0.0.1:" + std::to_string(i)), kSecond);
@@ -141,7 +142,7 @@
   }
 }
 
-TEST_CASE("Deregistrations are equal after Save and Load") {
+TEST_CASE("Save and Load preserve the deregistrations") {
   Deregistrations deregistrations;
   deregistrations.Apply("i", Phase::kDraining);
   deregistrations.Apply("j", Phase::kDeregistered);
@@ -153,7 +154,7 @@
   CHECK_FALSE(loaded.Find("k").has_value());
 }
 
-TEST_CASE("Deregistrations are bounded and evict the oldest first") {
+TEST_CASE("The number of deregistrations is bounded, and the oldest are evicted first") {
   Deregistrations deregistrations;
   for (int i = 0; i < 5000; ++i) deregistrations.Apply(std::to_string(i), Phase::kDeregistered);
   CHECK(deregistrations.all().size() == 4000);
