--- a/src/sidecar/admin.cpp
+++ b/src/sidecar/admin.cpp
@@ -180,7 +180,7 @@
         if (!stopped) Accept();
       });
     }
-    if (callers_.size() >= kMostCallers) CallerPtr(callers_.front())->Close();
+    if (callers_.size() >= kMaxConnections) CallerPtr(callers_.front())->Close();
     const auto caller = std::make_shared<Caller>(*this, std::move(socket));
     caller->place = callers_.insert(callers_.end(), caller);
     caller->Start();
--- a/src/sidecar/admin.hpp
+++ b/src/sidecar/admin.hpp
@@ -16,7 +16,7 @@
 class Admin {
  public:
   // Callers at once, with a descriptor set aside for each. One more ends the oldest that is still there.
-  static constexpr std::size_t kMostCallers = 16;
+  static constexpr std::size_t kMaxConnections = 16;
 
   enum class Verdict {
     kDone,
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -69,7 +69,7 @@
 void ReadDiscovery(const Json& json, const std::string& from_environment, Config& config) {
   config.discovery = {Address(json, "discovery", from_environment)};
   if (!json.contains("further_discovery")) return;
-  config.keeps_list = true;
+  config.stores_list = true;
   for (const Json& one : json.at("further_discovery")) {
     const auto address = ParseAddress(one.get<std::string>());
     if (!address) throw ConfigError("further_discovery " + one.dump() + ": not an address with a port");
@@ -121,22 +121,23 @@
   if (!admin.empty() || (json.contains("admin") && !json.at("admin").is_null()))
     config.admin = Address(json, "admin", admin);
   config.passed_socket = PassedSocket(Variable(environment, "EDGE_PASSED_SOCKET"));
-  config.directory = Variable(environment, "TMPDIR");
+  config.state_directory = Variable(environment, "TMPDIR");
   config.seed = Seed(json);
   if (json.contains("limits")) {
     const Json& limits = json.at("limits");
-    config.sockets = limits.value("sockets", static_cast<std::uint64_t>(config.sockets));
+    config.max_descriptors = limits.value("sockets", static_cast<std::uint64_t>(config.max_descriptors));
     config.memory_mb = limits.value("memory_mb", static_cast<std::uint64_t>(config.memory_mb));
   }
-  if (config.sockets < 64) throw ConfigError("limits.sockets: under 64, too few to work with");
+  if (config.max_descriptors < 64) throw ConfigError("limits.sockets: under 64, too few to work with");
   if (config.memory_mb < 16) throw ConfigError("limits.memory_mb: under 16, too little to work with");
   config.wire = bench_adapter::ParseSettings(Flatten(json.at("settings")));
   // Clients use a third of the descriptors at most, with one request on a connection.
-  const auto connections = static_cast<std::int64_t>(config.sockets / 3);
+  const auto connections = static_cast<std::int64_t>(config.max_descriptors / 3);
   std::int64_t& max_open_requests = config.wire.settings.max_open_requests;
   max_open_requests = max_open_requests > 0 ? std::min(max_open_requests, connections) : connections;
-  config.known = Known(json, config.wire);
-  if (config.keeps_list && !config.known.endpoints.empty()) config.known_text = json.at("known").dump();
+  config.initial_list = Known(json, config.wire);
+  if (config.stores_list && !config.initial_list.endpoints.empty())
+    config.initial_list_json = json.at("known").dump();
   return config;
 }
 
--- a/src/sidecar/config.hpp
+++ b/src/sidecar/config.hpp
@@ -25,16 +25,16 @@
   std::string name;
   Tcp::endpoint listen;
   std::vector<Tcp::endpoint> discovery;  // where the list is told; asked in turn, the first first
-  bool keeps_list = false;               // in `directory`; where further addresses are configured
+  bool stores_list = false;              // in `state_directory`; where further addresses are configured
   std::optional<Tcp::endpoint> admin;    // the operators' address; none = no such listener
   std::optional<int> passed_socket;      // listens already: clients come here and not to `listen`
-  std::string directory;                 // what outlives the process in an upgrade; empty = nothing does
+  std::string state_directory;           // what outlives the process in an upgrade; empty = nothing does
   std::uint64_t seed = 0;
-  std::size_t sockets = 1024;  // descriptors that the process may hold
+  std::size_t max_descriptors = 1024;  // descriptors that the process may hold
   std::size_t memory_mb = 192;
   bench_adapter::WireSettings wire;
-  EndpointList known;      // the list as this sidecar last had it
-  std::string known_text;  // the same as it stands in the configuration; empty where no copy is kept
+  EndpointList initial_list;      // the list as this sidecar last had it
+  std::string initial_list_json;  // the same as it stands in the configuration; empty where no copy is kept
 };
 
 // The settings in the form that the adapter reads, path=value pairs: one mapping of names serves both.
--- a/src/sidecar/bans.cpp
+++ b/src/sidecar/disabled_servers.cpp
@@ -1,8 +1,8 @@
-#include "sidecar/bans.hpp"
+#include "sidecar/disabled_servers.hpp"
 
 namespace violetwing::sidecar {
 
-bool Bans::Read(std::set<std::string>& servers) {
+bool DisabledServers::Read(std::set<std::string>& servers) {
   std::map<std::string, std::string> found;
   if (!files_.Read(found)) return false;
   servers.clear();
--- a/src/sidecar/discovery.cpp
+++ b/src/sidecar/discovery.cpp
@@ -94,7 +94,7 @@
   try {
     EndpointList list;
     list.generation = json.at("generation").get<std::int64_t>();
-    list.whole = json.at("reset").get<bool>();
+    list.complete = json.at("reset").get<bool>();
     list.stale = json.value("stale", false);
     for (const nlohmann::json& entry : json.at("instances"))
       list.endpoints.push_back(ParseEntry(entry, names, error));
@@ -105,7 +105,7 @@
   return std::nullopt;
 }
 
-Discovery::Timing Discovery::TimingOf(const Settings& settings, std::size_t addresses) {
+Discovery::Timing Discovery::TimingFor(const Settings& settings, std::size_t addresses) {
   Timing timing;
   timing.reopens = !settings.must_subscribe;
   // Where lists are pushed, all that the agent gets while it cannot be reached counts as told when it is
@@ -121,7 +121,7 @@
 
 // One watch, from its connection to its end. Reports its end once, unless it is stopped first. Its answer is
 // read at once whenever there is something, and never by a read that is out: so all of it can be had before a
-// decision (TakeWhatHasCome).
+// decision (ReadPending).
 class Discovery::Stream : public std::enable_shared_from_this<Stream> {
  public:
   explicit Stream(Discovery& owner) : owner_(&owner), socket_(owner.io_), silence_(owner.io_) {}
@@ -150,7 +150,7 @@
   }
 
   // Reads what is there, until there is no more.
-  void TakeWhatHasCome() {
+  void ReadPending() {
     const auto kept = shared_from_this();
     while (asked_ && owner_ != nullptr && ReadSome()) {
     }
@@ -163,7 +163,7 @@
     silence_.async_wait([self = shared_from_this()](ErrorCode moved) {
       if (moved || self->owner_ == nullptr) return;
       // What has come before the process got to this is no silence, and moves its end.
-      self->TakeWhatHasCome();
+      self->ReadPending();
       const bool silent = self->silence_.expiry() <= std::chrono::steady_clock::now();
       if (self->owner_ != nullptr && silent) self->End("it fell silent");
     });
@@ -186,7 +186,7 @@
   void AwaitMore() {
     socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this()](ErrorCode error) {
       if (error) return self->End(error.message());
-      self->TakeWhatHasCome();
+      self->ReadPending();
       if (self->owner_ != nullptr) self->AwaitMore();
     });
   }
@@ -287,11 +287,11 @@
   Open();
 }
 
-void Discovery::TakeWhatHasCome() {
-  if (const auto stream = stream_) stream->TakeWhatHasCome();
+void Discovery::ReadPending() {
+  if (const auto stream = stream_) stream->ReadPending();
 }
 
-void Discovery::Move(std::vector<Tcp::endpoint> addresses, std::int64_t generation) {
+void Discovery::SwitchAddresses(std::vector<Tcp::endpoint> addresses, std::int64_t generation) {
   addresses_ = std::move(addresses);
   at_ = tried_ = 0;
   backoff_.cancel();
@@ -311,7 +311,7 @@
   const auto json = nlohmann::json::parse(line, nullptr, /*allow_exceptions=*/false);
   const auto list = json.is_discarded() ? std::nullopt : ParseList(json, names_, error);
   if (list && list->generation < generation_) error = "older than the list that is in use";
-  if (list && list->whole && list->endpoints.empty()) error = "a whole list of no servers";
+  if (list && list->complete && list->endpoints.empty()) error = "a whole list of no servers";
   if (!list || !error.empty() || (events_.may_take && !events_.may_take(json, error))) {
     std::exchange(stream_, nullptr)->Stop();
     return OnEnd(error, /*bad_input=*/true);
--- a/src/sidecar/discovery.hpp
+++ b/src/sidecar/discovery.hpp
@@ -25,7 +25,7 @@
 };
 
 struct EndpointList {
-  bool whole = false;  // else changed entries alone
+  bool complete = false;  // else changed entries alone
   std::int64_t generation = 0;
   std::vector<Endpoint> endpoints;
   bool stale = false;  // a follower that has long heard nothing of its registry tells it
@@ -50,7 +50,7 @@
     bool reopens = true;              // false: somebody else decides when to ask again
   };
   // As a deployment's settings have it.
-  static Timing TimingOf(const Settings& settings, std::size_t addresses);
+  static Timing TimingFor(const Settings& settings, std::size_t addresses);
 
   struct Events {
     // A list before it is taken, as it was read; false if it must not be taken, with the reason. May be
@@ -70,9 +70,9 @@
   // Opens the watch, to be told of what changed after `generation`. Does nothing if it is open already.
   void Watch(std::int64_t generation);
   // Takes what has come on the watch and not been read yet: before a decision by one who may be late.
-  void TakeWhatHasCome();
+  void ReadPending();
   // Follows discovery to other addresses, at once: the watch at the old one is over.
-  void Move(std::vector<Tcp::endpoint> addresses, std::int64_t generation);
+  void SwitchAddresses(std::vector<Tcp::endpoint> addresses, std::int64_t generation);
   const Tcp::endpoint& address() const { return addresses_[at_]; }  // that is watched, or asked next
 
  private:
--- a/src/sidecar/kept_files.cpp
+++ b/src/sidecar/file_store.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/kept_files.hpp"
+#include "sidecar/file_store.hpp"
 
 #include <unistd.h>
 
@@ -47,14 +47,14 @@
 
 }  // namespace
 
-bool KeptFiles::MayKeep(const std::string& name) const {
+bool FileStore::MayKeep(const std::string& name) const {
   return !directory_.empty() && !name.empty() && name.size() <= kMostName;
 }
 
-std::string KeptFiles::Path(const std::string& name) const { return directory_ + "/" + prefix_ + Hex(name); }
+std::string FileStore::Path(const std::string& name) const { return directory_ + "/" + prefix_ + Hex(name); }
 
 // Beside it and then renamed, so that the other process never reads half of it.
-bool KeptFiles::Put(const std::string& name, const std::string& text) {
+bool FileStore::Put(const std::string& name, const std::string& text) {
   if (!MayKeep(name)) return false;
   const std::string beside = directory_ + "/." + prefix_ + std::to_string(::getpid());
   std::ofstream out(beside, std::ios::binary);
@@ -65,11 +65,11 @@
   return out && !error;
 }
 
-bool KeptFiles::Remove(const std::string& name) {
+bool FileStore::Remove(const std::string& name) {
   return MayKeep(name) && (::unlink(Path(name).c_str()) == 0 || errno == ENOENT);
 }
 
-bool KeptFiles::Read(std::map<std::string, std::string>& found) {
+bool FileStore::Read(std::map<std::string, std::string>& found) {
   if (directory_.empty()) return false;
   std::map<std::string, std::string> out;
   std::error_code error;
--- a/src/sidecar/kept_files.hpp
+++ b/src/sidecar/file_store.hpp
@@ -1,7 +1,7 @@
 // What operators have said, kept in a directory that the processes of an upgrade share: one file for each
 // name, made and removed whole.
-#ifndef VIOLETWING_SIDECAR_KEPT_FILES_HPP_
-#define VIOLETWING_SIDECAR_KEPT_FILES_HPP_
+#ifndef VIOLETWING_SIDECAR_FILE_STORE_HPP_
+#define VIOLETWING_SIDECAR_FILE_STORE_HPP_
 
 #include <map>
 #include <set>
@@ -9,10 +9,10 @@
 
 namespace violetwing::sidecar {
 
-class KeptFiles {
+class FileStore {
  public:
   // An empty directory means that there is none: nothing can be kept then.
-  KeptFiles(std::string directory, std::string prefix)
+  FileStore(std::string directory, std::string prefix)
       : directory_(std::move(directory)), prefix_(std::move(prefix)) {}
 
   // False, and nothing has changed, if it cannot be kept. Keeping or removing again is no error.
@@ -34,4 +34,4 @@
 
 }  // namespace violetwing::sidecar
 
-#endif  // VIOLETWING_SIDECAR_KEPT_FILES_HPP_
+#endif  // VIOLETWING_SIDECAR_FILE_STORE_HPP_
--- a/src/sidecar/last_list.cpp
+++ b/src/sidecar/last_list.cpp
@@ -41,7 +41,7 @@
   auto json = nlohmann::json::parse(in, nullptr, /*allow_exceptions=*/false);
   std::string error = "no JSON";
   const auto list = json.is_discarded() ? std::nullopt : ParseList(json, names_, error);
-  if (list && (!list->whole || list->endpoints.empty())) error = "no whole list";
+  if (list && (!list->complete || list->endpoints.empty())) error = "no whole list";
   if (list && error.empty()) {
     parsed = *list;
     return json;
@@ -50,7 +50,7 @@
   return std::nullopt;
 }
 
-std::optional<EndpointList> LastList::Begin(const std::string& known) {
+std::optional<EndpointList> LastList::Load(const std::string& known) {
   if (!known.empty()) Adopt(nlohmann::json::parse(known));
   EndpointList kept;
   const auto copy = ReadCopy(kept);
@@ -59,7 +59,7 @@
   return kept;
 }
 
-bool LastList::Take(const nlohmann::json& list, std::string& reason) {
+bool LastList::Update(const nlohmann::json& list, std::string& reason) {
   if (!list.at("reset").get<bool>() && LeavesNone(list.at("instances"))) {
     reason = "changes that leave no server";
     return false;
--- a/src/sidecar/last_list.hpp
+++ b/src/sidecar/last_list.hpp
@@ -25,11 +25,11 @@
   LastList& operator=(const LastList&) = delete;
 
   // Begins with `known`, a whole list as text or empty, or with the copy if that is later; the copy is given
-  // then. One that makes no sense is one line in the log. Called once, before Take.
-  std::optional<EndpointList> Begin(const std::string& known);
+  // then. One that makes no sense is one line in the log. Called once, before Update.
+  std::optional<EndpointList> Load(const std::string& known);
   // Takes a list or its changes in discovery's form, and writes the whole within two seconds. False, with the
   // reason and nothing taken, if it would leave no server.
-  bool Take(const nlohmann::json& list, std::string& reason);
+  bool Update(const nlohmann::json& list, std::string& reason);
 
  private:
   std::optional<nlohmann::json> ReadCopy(EndpointList& parsed) const;
--- a/src/sidecar/metrics.cpp
+++ b/src/sidecar/metrics.cpp
@@ -9,17 +9,17 @@
   }
 }
 
-void Metrics::Ended(int request_class, End end) {
+void Metrics::RequestEnded(int request_class, RequestOutcome end) {
   --pending_;
   PerClass& counts = classes_[static_cast<std::size_t>(request_class)];
   switch (end) {
-    case End::kCompleted:
+    case RequestOutcome::kCompleted:
       ++counts.completed;
       return;
-    case End::kRejected:
+    case RequestOutcome::kRejected:
       ++counts.rejected;
       return;
-    case End::kFailed:
+    case RequestOutcome::kFailed:
       ++counts.failed;
       return;
   }
--- a/src/sidecar/metrics.hpp
+++ b/src/sidecar/metrics.hpp
@@ -12,14 +12,14 @@
 
 class Metrics {
  public:
-  enum class End { kCompleted, kRejected, kFailed };
+  enum class RequestOutcome { kCompleted, kRejected, kFailed };
 
   explicit Metrics(const std::vector<RequestClass>& classes);
 
-  void Taken() { ++pending_; }
-  void Ended(int request_class, End end);
-  void ClientLeft() { --pending_; }  // before its answer: its request ended as none of the three
-  void AttemptWritten() { ++upstream_requests_; }
+  void RequestReceived() { ++pending_; }
+  void RequestEnded(int request_class, RequestOutcome end);
+  void ClientDisconnected() { --pending_; }  // before its answer: its request ended as none of the three
+  void AttemptSent() { ++upstream_requests_; }
 
   // One `name=value` a line.
   std::string Text(const Membership& membership) const;
--- a/src/sidecar/by_hand.cpp
+++ b/src/sidecar/operator_orders.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/by_hand.hpp"
+#include "sidecar/operator_orders.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <chrono>
@@ -14,8 +14,9 @@
 
 }  // namespace
 
-ByHand::ByHand(asio::io_context& io, const std::string& directory, const bench_adapter::WireSettings& names,
-               Balancer& balancer, Upstream& upstream, std::function<Micros()> now)
+OperatorOrders::OperatorOrders(asio::io_context& io, const std::string& directory,
+                               const bench_adapter::WireSettings& names, Balancer& balancer,
+                               Upstream& upstream, std::function<Micros()> now)
     : names_(names),
       balancer_(balancer),
       upstream_(upstream),
@@ -24,30 +25,30 @@
       zones_(directory),
       timer_(io) {}
 
-void ByHand::Follow() {
+void OperatorOrders::Poll() {
   ApplyBans();
   ApplyZones();
   timer_.expires_after(kPeriod);
   timer_.async_wait([this](ErrorCode error) {
-    if (!error) Follow();
+    if (!error) Poll();
   });
 }
 
-bool ByHand::Known(const std::string& server) const {
+bool OperatorOrders::Known(const std::string& server) const {
   return balancer_.WasListed(server) || balancer_.disabled().count(server) > 0;
 }
 
-Admin::Verdict ByHand::TakeOut(const std::string& server) {
+Admin::Verdict OperatorOrders::DisableServer(const std::string& server) {
   if (!Known(server)) return Admin::Verdict::kNeverListed;
   return bans_.Add(server) && ApplyBans() ? Admin::Verdict::kDone : Admin::Verdict::kNotKept;
 }
 
-Admin::Verdict ByHand::CallBack(const std::string& server) {
+Admin::Verdict OperatorOrders::EnableServer(const std::string& server) {
   if (!Known(server)) return Admin::Verdict::kNeverListed;
   return bans_.Remove(server) && ApplyBans() ? Admin::Verdict::kDone : Admin::Verdict::kNotKept;
 }
 
-Admin::Verdict ByHand::OrderZone(const std::string& zone, bool drains, Micros over) {
+Admin::Verdict OperatorOrders::OrderZone(const std::string& zone, bool drains, Micros over) {
   const int number = bench_adapter::IndexOf(names_.zones, zone);
   if (number < 0) return Admin::Verdict::kNeverListed;
   if (drains && !balancer_.HasUsableServerOutside(number)) return Admin::Verdict::kLast;
@@ -57,7 +58,7 @@
 }
 
 // False if they cannot be read.
-bool ByHand::ApplyBans() {
+bool OperatorOrders::ApplyBans() {
   std::set<std::string> kept;
   if (!bans_.Read(kept)) return false;
   const std::set<std::string> before = balancer_.disabled();
@@ -71,7 +72,7 @@
   return true;
 }
 
-bool ByHand::ApplyZones() {
+bool OperatorOrders::ApplyZones() {
   std::map<std::string, ZoneOrder> kept;
   if (!zones_.Read(kept)) return false;
   const Micros now = now_();
@@ -89,7 +90,7 @@
   return true;
 }
 
-std::string ByHand::Figures() const {
+std::string OperatorOrders::ZoneMetrics() const {
   std::string out;
   for (const auto& [zone, order] : applied_) {
     const int number = bench_adapter::IndexOf(names_.zones, zone);
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -22,7 +22,7 @@
 
 // Descriptors for all but clients and servers: standard streams, epoll and its helpers, listener, watch.
 constexpr std::size_t kOtherSockets = 24;
-constexpr std::size_t kAdminSockets = Admin::kMostCallers + 2;  // besides, where there is a second address
+constexpr std::size_t kAdminSockets = Admin::kMaxConnections + 2;  // besides, where there is a second address
 // Idle connections are closed this far into the time after which servers may close them. Guards against a
 // request that crosses the server's close: it would be reset and may have run.
 constexpr double kIdleShare = 0.7;
@@ -71,7 +71,7 @@
 // How the descriptors are divided. Where processes succeed each other two are there for a while: the clients,
 // whose connections are a third at most, are divided between them, but each may use its share of servers.
 Shares DescriptorShares(const Config& config) {
-  const std::size_t free = config.sockets - kOtherSockets - (config.admin ? kAdminSockets : 0);
+  const std::size_t free = config.max_descriptors - kOtherSockets - (config.admin ? kAdminSockets : 0);
   if (!config.passed_socket) return {free / 2, free / 2};
   return {free / 2, free / 5};
 }
@@ -111,16 +111,16 @@
       clock_offset_(ClockOffset()),
       budget_(BodyBudget(config_)),
       metrics_(config_.wire.settings.classes),
-      last_list_(config_.keeps_list && !config_.directory.empty()
-                     ? std::make_unique<LastList>(io, config_.directory, config_.wire)
+      last_list_(config_.stores_list && !config_.state_directory.empty()
+                     ? std::make_unique<LastList>(io, config_.state_directory, config_.wire)
                      : nullptr),
       upstream_(io, UpstreamLimits(config_), budget_,
-                {[this] { metrics_.AttemptWritten(); }, [this] { TakeNews(); }}),
+                {[this] { metrics_.AttemptSent(); }, [this] { TakeNews(); }}),
       discovery_(io, config_.discovery, config_.wire,
-                 Discovery::TimingOf(config_.wire.settings, config_.discovery.size()), config_.seed,
+                 Discovery::TimingFor(config_.wire.settings, config_.discovery.size()), config_.seed,
                  {TakesLists(),
                   [this](const EndpointList& list) {
-                    OnList(list.whole ? ListUpdate::Kind::kFull : ListUpdate::Kind::kDelta, list);
+                    OnList(list.complete ? ListUpdate::Kind::kFull : ListUpdate::Kind::kDelta, list);
                   },
                   [this] { OnDiscoveryFailed(); }}),
       start_timer_(io),
@@ -142,16 +142,18 @@
   if (config_.admin) {
     Admin::Events calls;
     calls.ready = events.ready;
-    by_hand_ = std::make_unique<ByHand>(io_, config_.directory, config_.wire, *balancer_, upstream_,
-                                        [this] { return Now(); });
-    calls.metrics = [this] { return metrics_.Text(balancer_->membership(Now())) + by_hand_->Figures(); };
-    calls.disable = [this](const std::string& server) { return by_hand_->TakeOut(server); };
-    calls.enable = [this](const std::string& server) { return by_hand_->CallBack(server); };
+    operator_orders_ = std::make_unique<OperatorOrders>(io_, config_.state_directory, config_.wire,
+                                                        *balancer_, upstream_, [this] { return Now(); });
+    calls.metrics = [this] {
+      return metrics_.Text(balancer_->membership(Now())) + operator_orders_->ZoneMetrics();
+    };
+    calls.disable = [this](const std::string& server) { return operator_orders_->DisableServer(server); };
+    calls.enable = [this](const std::string& server) { return operator_orders_->EnableServer(server); };
     calls.order_zone = [this](const std::string& zone, bool drains, Micros over) {
-      return by_hand_->OrderZone(zone, drains, over);
+      return operator_orders_->OrderZone(zone, drains, over);
     };
     admin_ = std::make_unique<Admin>(io_, *config_.admin, std::move(calls));
-    by_hand_->Follow();
+    operator_orders_->Poll();
   }
   const bool awaits = Succeeds();
   OnList(ListUpdate::Kind::kStale, Known(), awaits);
@@ -171,16 +173,17 @@
 // Whether another process has served on the passed socket and may still do so.
 bool Sidecar::Succeeds() const {
   std::error_code ignored;
-  return config_.passed_socket && !config_.directory.empty() &&
-         std::filesystem::exists(std::filesystem::path(config_.directory) / stored_names::kServed, ignored);
+  return config_.passed_socket && !config_.state_directory.empty() &&
+         std::filesystem::exists(std::filesystem::path(config_.state_directory) / stored_names::kServed,
+                                 ignored);
 }
 
 void Sidecar::TakeClients() {
   if (drain_.begun() || std::exchange(taking_, true)) return;
   start_timer_.cancel();
   inbound_->Accept();
-  if (config_.passed_socket && !config_.directory.empty())
-    std::ofstream(std::filesystem::path(config_.directory) / stored_names::kServed);
+  if (config_.passed_socket && !config_.state_directory.empty())
+    std::ofstream(std::filesystem::path(config_.state_directory) / stored_names::kServed);
 }
 
 bool Sidecar::Ready() const { return taking_ && !drain_.begun() && upstream_.any_server(); }
@@ -204,25 +207,25 @@
   const Micros now = Now();
   if (now - news_taken_ < config_.wire.settings.drain_grace / kNewsShare) return;
   news_taken_ = now;
-  discovery_.TakeWhatHasCome();
+  discovery_.ReadPending();
 }
 
 std::function<bool(const nlohmann::json&, std::string&)> Sidecar::TakesLists() {
   if (last_list_ == nullptr) return {};
-  return [this](const nlohmann::json& list, std::string& reason) { return last_list_->Take(list, reason); };
+  return [this](const nlohmann::json& list, std::string& reason) { return last_list_->Update(list, reason); };
 }
 
 // The list to begin with: the configuration's, or the copy in TMPDIR where that is later.
 EndpointList Sidecar::Known() {
-  if (last_list_ == nullptr) return config_.known;
-  const auto kept = last_list_->Begin(config_.known_text);
-  return kept ? *kept : config_.known;
+  if (last_list_ == nullptr) return config_.initial_list;
+  const auto kept = last_list_->Load(config_.initial_list_json);
+  return kept ? *kept : config_.initial_list;
 }
 
 void Sidecar::OnList(ListUpdate::Kind kind, const EndpointList& list, bool awaits) {
   generation_ = list.generation;
   EndpointList applied = list;
-  applied.whole = kind != ListUpdate::Kind::kDelta;
+  applied.complete = kind != ListUpdate::Kind::kDelta;
   upstream_.Apply(applied);
   std::vector<ServerInfo> servers;
   servers.reserve(list.endpoints.size());
@@ -261,7 +264,7 @@
   if (drain_.begun()) budget = std::min(budget, drain_.Left());
 
   Call& call = calls_[id];
-  metrics_.Taken();
+  metrics_.RequestReceived();
   call.head = std::move(head);
   call.body = body;
   call.request_class = request_class;
@@ -319,7 +322,7 @@
   if (it == calls_.end()) return;
   const std::string id = it->first;
   it->second.session = nullptr;
-  metrics_.ClientLeft();
+  metrics_.ClientDisconnected();
   // Where attempts may not be called off they go on; but one that still waits for its connection never began.
   for (std::size_t i = 0; i < it->second.attempts.size(); ++i)
     if (it->second.attempts[i].out && upstream_.Withdraw(it->second.attempts[i].upstream))
@@ -372,12 +375,12 @@
 }
 
 void Sidecar::Answer(Call& call, ResponseHead head, BodyPtr body) {
-  auto end = Metrics::End::kFailed;
-  if (head.result() == http::status::ok) end = Metrics::End::kCompleted;
-  if (head.result() == http::status::service_unavailable) end = Metrics::End::kRejected;
+  auto end = Metrics::RequestOutcome::kFailed;
+  if (head.result() == http::status::ok) end = Metrics::RequestOutcome::kCompleted;
+  if (head.result() == http::status::service_unavailable) end = Metrics::RequestOutcome::kRejected;
   Inbound::Respond(std::exchange(call.session, nullptr), std::move(head), std::move(body),
                    [this, end, request_class = call.request_class](bool whole) {
-                     metrics_.Ended(request_class, whole ? end : Metrics::End::kFailed);
+                     metrics_.RequestEnded(request_class, whole ? end : Metrics::RequestOutcome::kFailed);
                    });
 }
 
@@ -523,7 +526,7 @@
                text.data());
 }
 
-void Sidecar::Reload(const Config& config) { discovery_.Move(config.discovery, generation_); }
+void Sidecar::Reload(const Config& config) { discovery_.SwitchAddresses(config.discovery, generation_); }
 
 // ---- The end ----
 
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -13,13 +13,13 @@
 
 #include "sidecar/admin.hpp"
 #include "sidecar/balancer_types.hpp"
-#include "sidecar/by_hand.hpp"
 #include "sidecar/config.hpp"
 #include "sidecar/discovery.hpp"
 #include "sidecar/drain.hpp"
 #include "sidecar/inbound.hpp"
 #include "sidecar/last_list.hpp"
 #include "sidecar/metrics.hpp"
+#include "sidecar/operator_orders.hpp"
 #include "sidecar/upstream.hpp"
 
 namespace violetwing::sidecar {
@@ -116,8 +116,8 @@
   Upstream upstream_;
   Discovery discovery_;
   std::unique_ptr<Inbound> inbound_;
-  std::unique_ptr<ByHand> by_hand_;  // null without a second address
-  std::unique_ptr<Admin> admin_;     // null without a second address
+  std::unique_ptr<OperatorOrders> operator_orders_;  // null without a second address
+  std::unique_ptr<Admin> admin_;                     // null without a second address
   Calls calls_;
   std::int64_t generation_ = 0;
   Micros news_taken_ = 0;           // when the watch was last read before a decision
--- a/src/sidecar/stored_names.hpp
+++ b/src/sidecar/stored_names.hpp
@@ -6,7 +6,7 @@
 namespace violetwing::sidecar::stored_names {
 
 /// An empty file for each server that an operator has taken out; the server's id follows in hex.
-inline constexpr const char* kBanPrefix = "fennelhollow-ban-";
+inline constexpr const char* kDisabledServerPrefix = "fennelhollow-ban-";
 /// An order for a zone as text (zone_orders.hpp); the zone's name follows in hex.
 inline constexpr const char* kZonePrefix = "fennelhollow-zone-";
 /// Present once a process has taken clients: the next one succeeds it.
--- a/src/sidecar/upstream.cpp
+++ b/src/sidecar/upstream.cpp
@@ -436,7 +436,7 @@
 
 void Upstream::Apply(const EndpointList& list) {
   std::unordered_map<std::string, std::shared_ptr<Server>> before;
-  if (list.whole) before.swap(servers_);
+  if (list.complete) before.swap(servers_);
   for (const Endpoint& endpoint : list.endpoints) {
     std::shared_ptr<Server>& server = servers_[endpoint.info.id];
     const auto old = before.find(endpoint.info.id);
--- a/src/sidecar/zone_orders.hpp
+++ b/src/sidecar/zone_orders.hpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "sidecar/balancer_types.hpp"
-#include "sidecar/kept_files.hpp"
+#include "sidecar/file_store.hpp"
 #include "sidecar/stored_names.hpp"
 
 namespace violetwing::sidecar {
@@ -29,7 +29,7 @@
   bool Read(std::map<std::string, ZoneOrder>& orders);
 
  private:
-  KeptFiles files_;
+  FileStore files_;
   std::map<std::string, std::string> complained_;  // the text by zone
 };
 
--- a/tests/sidecar/admin_test.cpp
+++ b/tests/sidecar/admin_test.cpp
@@ -105,13 +105,13 @@
 
 TEST_F(AdminTest, CallersThatEndNoCallKeepNobodyOutAndAreEnded) {
   std::vector<std::shared_ptr<Peer>> callers;
-  for (std::size_t i = 0; i < 2 * Admin::kMostCallers; ++i) {
+  for (std::size_t i = 0; i < 2 * Admin::kMaxConnections; ++i) {
     callers.push_back(Connect(io, admin.address()));
     if (i % 2 == 0) callers.back()->Write("GET /rea");
     io.poll();
   }
   EXPECT_EQ(Call("GET /ready HTTP/1.1\r\n\r\n"), "200");
-  EXPECT_LE(admin.callers(), Admin::kMostCallers);
+  EXPECT_LE(admin.callers(), Admin::kMaxConnections);
   EXPECT_TRUE(RunUntil(io, [&] {
     return std::all_of(callers.begin(), callers.end(), [](const auto& caller) { return caller->ended; });
   }));
--- a/tests/sidecar/config_test.cpp
+++ b/tests/sidecar/config_test.cpp
@@ -28,8 +28,8 @@
   const Config config = ParseConfig(json.dump());
   ASSERT_EQ(config.discovery.size(), 2U);
   EXPECT_EQ(Text(config.discovery[1]), "127.0.0.1:82");
-  EXPECT_TRUE(config.keeps_list);
-  EXPECT_FALSE(config.known_text.empty());
+  EXPECT_TRUE(config.stores_list);
+  EXPECT_FALSE(config.initial_list_json.empty());
   for (const Json& bad : {Json({"127.0.0.1"}), Json({7}), Json("127.0.0.1:82x")}) {
     json["further_discovery"] = bad;
     EXPECT_THROW(ParseConfig(json.dump()), ConfigError) << bad;
@@ -45,17 +45,17 @@
   EXPECT_EQ(Text(config.listen), "127.0.0.2:80");  // the environment's
   ASSERT_EQ(config.discovery.size(), 1U);
   EXPECT_EQ(Text(config.discovery[0]), "127.0.0.1:81");
-  EXPECT_FALSE(config.keeps_list);
+  EXPECT_FALSE(config.stores_list);
   ASSERT_TRUE(config.admin);
   EXPECT_EQ(Text(*config.admin), "127.0.0.2:81");
   EXPECT_EQ(config.seed, 0x8c1f30d27a5be964U);
-  EXPECT_EQ(config.sockets, 1024U);
+  EXPECT_EQ(config.max_descriptors, 1024U);
   ASSERT_EQ(config.wire.settings.classes.size(), 3U);
   EXPECT_EQ(config.wire.settings.classes[2].retry_safety, RetrySafety::kNever);
   EXPECT_EQ(config.wire.settings.dial_timeout, 250'000);
   EXPECT_EQ(config.wire.settings.zone, 0);
-  ASSERT_EQ(config.known.endpoints.size(), 1U);
-  EXPECT_EQ(config.known.endpoints[0].address, at);
+  ASSERT_EQ(config.initial_list.endpoints.size(), 1U);
+  EXPECT_EQ(config.initial_list.endpoints[0].address, at);
 }
 
 TEST(Config, SaysWhatIsWrongInOneLine) {
--- a/tests/sidecar/bans_test.cpp
+++ b/tests/sidecar/disabled_servers_test.cpp
@@ -1,5 +1,5 @@
 // The files that keep what operators have taken out.
-#include "sidecar/bans.hpp"
+#include "sidecar/disabled_servers.hpp"
 
 #include <gtest/gtest.h>
 
@@ -12,21 +12,21 @@
 
 namespace fs = std::filesystem;
 
-class BansTest : public ::testing::Test {
+class DisabledServersTest : public ::testing::Test {
  protected:
-  BansTest() {
+  DisabledServersTest() {
     std::string name = (fs::temp_directory_path() / "bans-XXXXXX").string();
     EXPECT_NE(::mkdtemp(name.data()), nullptr);
     directory = name;
   }
-  ~BansTest() override { fs::remove_all(directory); }
+  ~DisabledServersTest() override { fs::remove_all(directory); }
 
   fs::path directory;
 };
 
-TEST_F(BansTest, OneProcessSeesWhatTheOtherKeeps) {
-  Bans one(directory);
-  Bans two(directory);
+TEST_F(DisabledServersTest, OneProcessSeesWhatTheOtherKeeps) {
+  DisabledServers one(directory);
+  DisabledServers two(directory);
   const std::string odd = "s/../\xff \n";
   EXPECT_TRUE(one.Add("s1"));
   EXPECT_TRUE(one.Add("s1"));
@@ -40,8 +40,8 @@
   EXPECT_EQ(kept, std::set<std::string>{odd});
 }
 
-TEST_F(BansTest, ForeignFilesDropNoBan) {
-  Bans bans(directory);
+TEST_F(DisabledServersTest, ForeignFilesDropNoBan) {
+  DisabledServers bans(directory);
   EXPECT_TRUE(bans.Add("s1"));
   for (const char* name : {"fennelhollow-ban-", "fennelhollow-ban-7", "fennelhollow-ban-zz", "other"})
     std::ofstream(directory / name) << "{ half";
@@ -51,13 +51,13 @@
   EXPECT_EQ(kept, std::set<std::string>{"s1"});
 }
 
-TEST_F(BansTest, SaysSoWhenABanCannotBeKept) {
-  EXPECT_FALSE(Bans("").Add("s1"));
-  EXPECT_FALSE(Bans(directory / "missing").Add("s1"));
-  EXPECT_FALSE(Bans(directory).Add(std::string(101, 'x')));
-  EXPECT_FALSE(Bans(directory).Add(""));
+TEST_F(DisabledServersTest, SaysSoWhenABanCannotBeKept) {
+  EXPECT_FALSE(DisabledServers("").Add("s1"));
+  EXPECT_FALSE(DisabledServers(directory / "missing").Add("s1"));
+  EXPECT_FALSE(DisabledServers(directory).Add(std::string(101, 'x')));
+  EXPECT_FALSE(DisabledServers(directory).Add(""));
   std::set<std::string> kept{"s1"};
-  EXPECT_FALSE(Bans(directory / "missing").Read(kept));
+  EXPECT_FALSE(DisabledServers(directory / "missing").Read(kept));
   EXPECT_EQ(kept, std::set<std::string>{"s1"});
 }
 
--- a/tests/sidecar/discovery_test.cpp
+++ b/tests/sidecar/discovery_test.cpp
@@ -55,7 +55,7 @@
   EXPECT_EQ(lists[0].generation, 42);
   EXPECT_EQ(lists[1].endpoints[0].info.id, "s-b");
   EXPECT_EQ(lists[1].endpoints[0].info.zone, 1);
-  EXPECT_FALSE(lists[1].whole);
+  EXPECT_FALSE(lists[1].complete);
   EXPECT_EQ(failures, 0);
 }
 
@@ -131,14 +131,14 @@
   Settings settings;
   settings.must_subscribe = true;
   settings.drain_grace = 400'000;
-  EXPECT_LE(Discovery::TimingOf(settings, 1).silence, 4'000'000);
-  EXPECT_GT(Discovery::TimingOf(settings, 1).silence, 2'000'000 + 1'000'000);  // a line may be late
-  EXPECT_FALSE(Discovery::TimingOf(settings, 1).reopens);
+  EXPECT_LE(Discovery::TimingFor(settings, 1).silence, 4'000'000);
+  EXPECT_GT(Discovery::TimingFor(settings, 1).silence, 2'000'000 + 1'000'000);  // a line may be late
+  EXPECT_FALSE(Discovery::TimingFor(settings, 1).reopens);
   settings.must_subscribe =
       false;  // pushed: told at once when the agent is back, and the grace is what is left
-  EXPECT_TRUE(Discovery::TimingOf(settings, 1).reopens);
-  EXPECT_LE(Discovery::TimingOf(settings, 1).backoff_most, settings.drain_grace / 2);
-  EXPECT_LE(Discovery::TimingOf(settings, 1).backoff_base, settings.drain_grace / 2);
+  EXPECT_TRUE(Discovery::TimingFor(settings, 1).reopens);
+  EXPECT_LE(Discovery::TimingFor(settings, 1).backoff_most, settings.drain_grace / 2);
+  EXPECT_LE(Discovery::TimingFor(settings, 1).backoff_base, settings.drain_grace / 2);
 }
 
 TEST_F(DiscoveryTest, KeepsTheOldListOnBadInputAndAsksAgain) {
--- a/tests/sidecar/last_list_test.cpp
+++ b/tests/sidecar/last_list_test.cpp
@@ -27,12 +27,12 @@
   // What a process leaves that began with `known` and was told `lists`.
   void Told(const std::string& known, const std::vector<nlohmann::json>& lists) {
     LastList last(io, directory, names);
-    last.Begin(known);
+    last.Load(known);
     std::string reason;
-    for (const auto& list : lists) EXPECT_TRUE(last.Take(list, reason)) << reason;
+    for (const auto& list : lists) EXPECT_TRUE(last.Update(list, reason)) << reason;
   }
-  std::optional<EndpointList> Begin(const std::string& known = "") {
-    return LastList(io, directory, names).Begin(known);
+  std::optional<EndpointList> Load(const std::string& known = "") {
+    return LastList(io, directory, names).Load(known);
   }
 
   asio::io_context io;
@@ -42,26 +42,26 @@
 };
 
 TEST_F(LastListTest, IsTheWholeListAfterChanges) {
-  EXPECT_FALSE(Begin());
+  EXPECT_FALSE(Load());
   Told(List(5, true, {Entry("a", at), Entry("b", at)}).dump(),
        {List(6, false, {Entry("c", at)}), List(7, false, {Entry("a", at, "removed")})});
-  const auto kept = Begin();
+  const auto kept = Load();
   ASSERT_TRUE(kept);
   EXPECT_EQ(kept->generation, 7);
   ASSERT_EQ(kept->endpoints.size(), 2U);
   EXPECT_EQ(kept->endpoints[0].info.id, "b");
   EXPECT_EQ(kept->endpoints[1].info.id, "c");
-  EXPECT_TRUE(Begin(List(6, true, {Entry("d", at)}).dump()));
-  EXPECT_FALSE(Begin(List(7, true, {Entry("d", at)}).dump()));  // as late: the configuration's stays
+  EXPECT_TRUE(Load(List(6, true, {Entry("d", at)}).dump()));
+  EXPECT_FALSE(Load(List(7, true, {Entry("d", at)}).dump()));  // as late: the configuration's stays
 }
 
 TEST_F(LastListTest, TakesNoChangesThatLeaveNoServer) {
   LastList last(io, directory, names);
-  last.Begin(List(5, true, {Entry("a", at), Entry("b", at)}).dump());
+  last.Load(List(5, true, {Entry("a", at), Entry("b", at)}).dump());
   std::string reason;
-  EXPECT_FALSE(last.Take(List(6, false, {Entry("a", at, "removed"), Entry("b", at, "removed")}), reason));
+  EXPECT_FALSE(last.Update(List(6, false, {Entry("a", at, "removed"), Entry("b", at, "removed")}), reason));
   EXPECT_FALSE(reason.empty());
-  EXPECT_TRUE(last.Take(
+  EXPECT_TRUE(last.Update(
       List(7, false, {Entry("a", at, "removed"), Entry("b", at, "removed"), Entry("c", at)}), reason));
 }
 
@@ -70,7 +70,7 @@
                                   List(9, false, {Entry("a", at)}).dump()}) {
     std::ofstream(fs::path(directory) / LastList::kFile) << text;
     ::testing::internal::CaptureStderr();
-    EXPECT_FALSE(Begin()) << text;
+    EXPECT_FALSE(Load()) << text;
     const std::string said = ::testing::internal::GetCapturedStderr();
     EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1) << said;
   }
--- a/tests/sidecar/by_hand_test.cpp
+++ b/tests/sidecar/operator_orders_test.cpp
@@ -1,5 +1,5 @@
 // What operators say of zones: kept, followed by the other process, and taken up by the next.
-#include "sidecar/by_hand.hpp"
+#include "sidecar/operator_orders.hpp"
 
 #include <cstdlib>
 #include <filesystem>
@@ -23,14 +23,15 @@
     EXPECT_FALSE(ParseOrder(bad)) << bad;
 }
 
-class ByHandTest : public ::testing::Test {
+class OperatorOrdersTest : public ::testing::Test {
  protected:
   // A process of the sidecar, as far as this goes.
   struct Process {
-    Process(ByHandTest& test)
+    Process(OperatorOrdersTest& test)
         : balancer(Balancer::Create(test.names.settings, 1, test.now, sink, error)),
           upstream(test.io, Upstream::Limits(), std::make_shared<Budget>(std::size_t{1} << 20)),
-          by_hand(test.io, test.directory, test.names, *balancer, upstream, [&test] { return test.now; }) {
+          operator_orders(test.io, test.directory, test.names, *balancer, upstream,
+                          [&test] { return test.now; }) {
       balancer->OnServers(test.now,
                           {ListUpdate::Kind::kFull, 1, violetwing::balancer::testing::MakeServers(4)});
     }
@@ -38,17 +39,17 @@
     violetwing::balancer::testing::Recorder sink;
     std::unique_ptr<Balancer> balancer;
     Upstream upstream;
-    ByHand by_hand;
+    OperatorOrders operator_orders;
   };
 
-  ByHandTest() {
+  OperatorOrdersTest() {
     names.settings = violetwing::balancer::testing::MakeSettings();
     names.zones = {"east", "west"};
     std::string name = (fs::temp_directory_path() / "by-hand-XXXXXX").string();
     EXPECT_NE(::mkdtemp(name.data()), nullptr);
     directory = name;
   }
-  ~ByHandTest() override { fs::remove_all(directory); }
+  ~OperatorOrdersTest() override { fs::remove_all(directory); }
 
   asio::io_context io;
   bench_adapter::WireSettings names;
@@ -56,35 +57,35 @@
   Micros now = 1'764'628'000 * kSec;
 };
 
-TEST_F(ByHandTest, AnOrderIsFollowedByTheOtherProcessAndGoesOnInTheNext) {
+TEST_F(OperatorOrdersTest, AnOrderIsFollowedByTheOtherProcessAndGoesOnInTheNext) {
   Process one(*this);
   Process other(*this);
-  one.by_hand.Follow();
-  other.by_hand.Follow();
-  EXPECT_EQ(one.by_hand.OrderZone("moon", true, 0), Admin::Verdict::kNeverListed);
-  EXPECT_EQ(one.by_hand.OrderZone("west", true, 60 * kSec), Admin::Verdict::kDone);
-  EXPECT_EQ(one.by_hand.OrderZone("east", true, 0), Admin::Verdict::kDone);
-  EXPECT_EQ(one.by_hand.OrderZone("west", true, 0), Admin::Verdict::kLast);
-  EXPECT_EQ(one.by_hand.OrderZone("east", false, 0), Admin::Verdict::kDone);
+  one.operator_orders.Poll();
+  other.operator_orders.Poll();
+  EXPECT_EQ(one.operator_orders.OrderZone("moon", true, 0), Admin::Verdict::kNeverListed);
+  EXPECT_EQ(one.operator_orders.OrderZone("west", true, 60 * kSec), Admin::Verdict::kDone);
+  EXPECT_EQ(one.operator_orders.OrderZone("east", true, 0), Admin::Verdict::kDone);
+  EXPECT_EQ(one.operator_orders.OrderZone("west", true, 0), Admin::Verdict::kLast);
+  EXPECT_EQ(one.operator_orders.OrderZone("east", false, 0), Admin::Verdict::kDone);
   now += 15 * kSec;
   EXPECT_TRUE(RunUntil(io, [&] { return other.balancer->ZoneTrafficShare(now, 1) == 0.75; }));
-  EXPECT_EQ(other.by_hand.Figures(), "sidecar.zone.west.open=0.750000\n");
+  EXPECT_EQ(other.operator_orders.ZoneMetrics(), "sidecar.zone.west.open=0.750000\n");
   now += 15 * kSec;
   Process next(*this);  // after both are gone
-  next.by_hand.Follow();
+  next.operator_orders.Poll();
   EXPECT_DOUBLE_EQ(next.balancer->ZoneTrafficShare(now, 1), 0.5);
-  EXPECT_EQ(next.by_hand.OrderZone("west", false, 8 * kSec), Admin::Verdict::kDone);
+  EXPECT_EQ(next.operator_orders.OrderZone("west", false, 8 * kSec), Admin::Verdict::kDone);
   EXPECT_DOUBLE_EQ(next.balancer->ZoneTrafficShare(now, 1), 0.5625);  // from where it was
   now += 8 * kSec;
   EXPECT_TRUE(RunUntil(io, [&] { return fs::is_empty(directory); }));  // nothing is left of it
-  EXPECT_TRUE(RunUntil(io, [&] { return other.by_hand.Figures().empty(); }));
+  EXPECT_TRUE(RunUntil(io, [&] { return other.operator_orders.ZoneMetrics().empty(); }));
 }
 
-TEST_F(ByHandTest, AFileThatHoldsNoOrderIsOneLineAndNoOrder) {
+TEST_F(OperatorOrdersTest, AFileThatHoldsNoOrderIsOneLineAndNoOrder) {
   Process one(*this);
   std::ofstream(fs::path(directory) / "fennelhollow-zone-77657374") << "drain soon";  // "west"
   ::testing::internal::CaptureStderr();
-  one.by_hand.Follow();
+  one.operator_orders.Poll();
   RunFor(io, 500ms);
   const std::string said = ::testing::internal::GetCapturedStderr();
   EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1) << said;
--- a/tests/sidecar/sidecar_fixture.hpp
+++ b/tests/sidecar/sidecar_fixture.hpp
@@ -36,7 +36,7 @@
     Config config = ParseConfig(json.dump());
     config.listen = Loopback();
     config.admin = Loopback();
-    config.directory = directory;
+    config.state_directory = directory;
     sidecar = std::make_unique<Sidecar>(io, std::move(config));
     sidecar->Start();
     ASSERT_TRUE(RunUntil(io, [&] { return watching != nullptr; }));
--- a/tests/sidecar/sidecar_test.cpp
+++ b/tests/sidecar/sidecar_test.cpp
@@ -395,7 +395,7 @@
 TEST_F(SidecarTest, ABanThatAnotherProcessKeepsIsFollowed) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
-  Bans other(directory);
+  DisabledServers other(directory);
   EXPECT_TRUE(other.Add("s1"));
   ASSERT_TRUE(RunUntil(io, [&] { return Figure("members_unavailable") == "1"; }));
   auto client = Client(Get("r1"));
--- a/tests/sidecar/stored_names_test.cpp
+++ b/tests/sidecar/stored_names_test.cpp
@@ -10,7 +10,7 @@
 #include <set>
 #include <string>
 
-#include "sidecar/bans.hpp"
+#include "sidecar/disabled_servers.hpp"
 #include "sidecar/last_list.hpp"
 #include "sidecar/zone_orders.hpp"
 
@@ -36,7 +36,7 @@
 TEST_F(StoredNamesTest, ReadsABanOfTheEarlierVersion) {
   Leave("fennelhollow-ban-7331", "");  // "s1"
   std::set<std::string> servers;
-  ASSERT_TRUE(Bans(directory).Read(servers));
+  ASSERT_TRUE(DisabledServers(directory).Read(servers));
   EXPECT_EQ(servers, std::set<std::string>{"s1"});
 }
 
@@ -57,7 +57,7 @@
         R"("lifecycle":"up","machineType":"std","startedAtMs":0,"weight":1.0,"zone":"east"}],"reset":true})");
   asio::io_context io;
   const bench_adapter::WireSettings names{{}, {"west", "east"}, {"std"}};
-  const auto list = LastList(io, directory, names).Begin("");
+  const auto list = LastList(io, directory, names).Load("");
   ASSERT_TRUE(list);
   EXPECT_EQ(list->generation, 7);
   ASSERT_EQ(list->endpoints.size(), 1U);
