--- a/src/sidecar/admin.cpp
+++ b/src/sidecar/admin.cpp
@@ -13,16 +13,17 @@
 namespace violetwing::sidecar {
 namespace {
 
-// How long a caller may take to send its call and to read the answer.
-constexpr auto kMostCall = std::chrono::seconds(3);
-// How long a connection still reads after its answer: closing it with input unread would reset it, and the
-// answer might be lost with that.
-constexpr auto kLinger = std::chrono::milliseconds(500);
-// How long accepting rests after it failed: guards against a loop that spins where descriptors have run out.
-constexpr auto kAcceptPause = std::chrono::milliseconds(50);
-constexpr std::size_t kMostCallBody = std::size_t{4} * 1024;
-constexpr double kMostOver = 86'400;  // seconds
-constexpr std::size_t kMostCallHeader = std::size_t{8} * 1024;
+// Time limit for a client to send its request and to read the response.
+constexpr auto kRequestTimeout = std::chrono::seconds(3);
+// Time for which a connection still reads after the response: closing a socket with unread input resets the
+// connection, and the client might lose the response.
+constexpr auto kLingerTimeout = std::chrono::milliseconds(500);
+// Delay before the next accept after a failed one. Without it, the loop would spin while the process is out
+// of descriptors.
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(50);
+constexpr std::size_t kMaxBodyBytes = std::size_t{4} * 1024;
+constexpr double kMaxTransitionSeconds = 86'400;  // a day
+constexpr std::size_t kMaxHeaderBytes = std::size_t{8} * 1024;
 
 HttpResponse NotAllowed(const char* method) {
   HttpResponse response = Plain(http::status::method_not_allowed, "wrong method\n");
@@ -30,51 +31,51 @@
   return response;
 }
 
-HttpResponse AnswerVerdict(Admin::Verdict verdict) {
-  switch (verdict) {
-    case Admin::Verdict::kDone:
+HttpResponse ResponseTo(Admin::OrderResult result) {
+  switch (result) {
+    case Admin::OrderResult::kDone:
       return Plain(http::status::ok, "done\n");
-    case Admin::Verdict::kNeverListed:
+    case Admin::OrderResult::kUnknown:
       return Plain(http::status::not_found, "never listed\n");
-    case Admin::Verdict::kLast:
+    case Admin::OrderResult::kNoServerElsewhere:
       return Plain(http::status::conflict, "no server would be left elsewhere\n");
-    case Admin::Verdict::kNotKept:
+    case Admin::OrderResult::kNotStored:
       break;
   }
   return Plain(http::status::internal_server_error, "cannot be kept in $TMPDIR\n");
 }
 
-HttpResponse AnswerBan(const std::string& body,
-                       const std::function<Admin::Verdict(const std::string&)>& carry_out) {
+HttpResponse HandleServerOrder(const std::string& body,
+                               const std::function<Admin::OrderResult(const std::string&)>& apply_order) {
   const auto json = nlohmann::json::parse(body, nullptr, /*allow_exceptions=*/false);
   if (!json.is_object() || !json.contains("who") || !json.at("who").is_string())
     return Plain(http::status::bad_request, "want {\"who\":\"ID\"}\n");
-  return AnswerVerdict(carry_out(json.at("who").get<std::string>()));
+  return ResponseTo(apply_order(json.at("who").get<std::string>()));
 }
 
-HttpResponse AnswerZone(const std::string& body, bool drains, const Admin::Events& events) {
+HttpResponse HandleZoneOrder(const std::string& body, bool drains, const Admin::Events& events) {
   const auto json = nlohmann::json::parse(body, nullptr, /*allow_exceptions=*/false);
-  const bool zone = json.is_object() && json.contains("zone") && json.at("zone").is_string();
-  const bool over = zone && (!json.contains("over_s") || json.at("over_s").is_number());
-  const double seconds = over ? json.value("over_s", 0.0) : -1;
-  if (!(seconds >= 0 && seconds <= kMostOver))
+  const bool has_zone = json.is_object() && json.contains("zone") && json.at("zone").is_string();
+  const bool valid = has_zone && (!json.contains("over_s") || json.at("over_s").is_number());
+  const double seconds = valid ? json.value("over_s", 0.0) : -1;
+  if (!(seconds >= 0 && seconds <= kMaxTransitionSeconds))
     return Plain(http::status::bad_request, "want {\"zone\":\"NAME\",\"over_s\":SECONDS}, a day at most\n");
-  return AnswerVerdict(
+  return ResponseTo(
       events.order_zone(json.at("zone").get<std::string>(), drains, static_cast<Micros>(seconds * 1e6)));
 }
 
 }  // namespace
 
-class Admin::Caller : public std::enable_shared_from_this<Caller> {
+class Admin::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Caller(Admin& owner, Tcp::socket socket)
+  Connection(Admin& owner, Tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), deadline_(owner.io_) {
-    parser_.header_limit(kMostCallHeader);
-    parser_.body_limit(kMostCallBody);
+    parser_.header_limit(kMaxHeaderBytes);
+    parser_.body_limit(kMaxBodyBytes);
   }
 
   void Start() {
-    ExpireAfter(kMostCall);
+    ExpireAfter(kRequestTimeout);
     http::async_read_header(socket_, buffer_, parser_,
                             [self = shared_from_this()](ErrorCode error, std::size_t) {
                               if (error) return self->Reject(error);
@@ -82,8 +83,8 @@
                             });
   }
 
-  // Closes without a word to the owner, which is going.
-  void Abandon() {
+  // Closes the socket without removing the connection from its owner, which is being destroyed.
+  void Detach() {
     owner_ = nullptr;
     ErrorCode ignored;
     socket_.close(ignored);
@@ -91,13 +92,13 @@
 
   void Close() {
     if (owner_ == nullptr) return;
-    const auto kept = *place;
-    owner_->callers_.erase(place);
-    Abandon();
+    const auto keep_alive = *position;
+    owner_->connections_.erase(position);
+    Detach();
     deadline_.cancel();
   }
 
-  std::list<CallerPtr>::iterator place;
+  std::list<ConnectionPtr>::iterator position;
 
  private:
   void ExpireAfter(std::chrono::milliseconds time) {
@@ -111,7 +112,7 @@
     if (owner_ == nullptr) return;
     http::async_read(socket_, buffer_, parser_, [self = shared_from_this()](ErrorCode error, std::size_t) {
       if (error) return self->Reject(error);
-      if (self->owner_ != nullptr) self->Write(self->owner_->Answer(self->parser_.get()));
+      if (self->owner_ != nullptr) self->Write(self->owner_->Handle(self->parser_.get()));
     });
   }
 
@@ -120,7 +121,7 @@
     if (error == http::error::body_limit) return Write(Plain(http::status::payload_too_large, "too large\n"));
     if (error == http::error::header_limit || error == http::error::buffer_overflow)
       return Write(Plain(http::status::request_header_fields_too_large, "header too large\n"));
-    // What is no error of the form is one of the connection: there is nobody to tell.
+    // Any other error than malformed HTTP concerns the connection itself, so no response can be sent.
     if (error.category() != make_error_code(http::error::bad_method).category() ||
         error == http::error::end_of_stream || error == http::error::partial_message)
       return Close();
@@ -136,26 +137,27 @@
       if (error) return self->Close();
       self->socket_.shutdown(Tcp::socket::shutdown_send, error);
       if (error) return self->Close();
-      self->ExpireAfter(kLinger);
-      self->ReadToEnd();
+      self->ExpireAfter(kLingerTimeout);
+      self->ReadUntilClosed();
     });
   }
 
-  void ReadToEnd() {
-    socket_.async_read_some(asio::buffer(rest_), [self = shared_from_this()](ErrorCode error, std::size_t) {
-      if (self->owner_ == nullptr) return;
-      if (error) return self->Close();
-      self->ReadToEnd();
-    });
+  void ReadUntilClosed() {
+    socket_.async_read_some(asio::buffer(discarded_),
+                            [self = shared_from_this()](ErrorCode error, std::size_t) {
+                              if (self->owner_ == nullptr) return;
+                              if (error) return self->Close();
+                              self->ReadUntilClosed();
+                            });
   }
 
-  Admin* owner_;  // null once it is closed
+  Admin* owner_;  // null once the connection is closed
   Tcp::socket socket_;
   asio::steady_timer deadline_;
-  beast::flat_buffer buffer_{kMostCallHeader + kMostCallBody};
+  beast::flat_buffer buffer_{kMaxHeaderBytes + kMaxBodyBytes};
   http::request_parser<http::string_body> parser_;
   HttpResponse response_;
-  std::array<char, 512> rest_{};
+  std::array<char, 512> discarded_{};
 };
 
 Admin::Admin(asio::io_context& io, const Tcp::endpoint& address, Events events)
@@ -163,32 +165,32 @@
       events_(std::move(events)),
       acceptor_(io, address, /*reuse_addr=*/true),
       address_(acceptor_.local_endpoint()),
-      pause_(io) {
+      accept_retry_timer_(io) {
   Accept();
 }
 
 Admin::~Admin() {
-  for (const CallerPtr& caller : callers_) caller->Abandon();
+  for (const ConnectionPtr& connection : connections_) connection->Detach();
 }
 
 void Admin::Accept() {
   acceptor_.async_accept([this](ErrorCode error, Tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
     if (error) {
-      pause_.expires_after(kAcceptPause);
-      return pause_.async_wait([this](ErrorCode stopped) {
+      accept_retry_timer_.expires_after(kAcceptRetryDelay);
+      return accept_retry_timer_.async_wait([this](ErrorCode stopped) {
         if (!stopped) Accept();
       });
     }
-    if (callers_.size() >= kMaxConnections) CallerPtr(callers_.front())->Close();
-    const auto caller = std::make_shared<Caller>(*this, std::move(socket));
-    caller->place = callers_.insert(callers_.end(), caller);
-    caller->Start();
+    if (connections_.size() >= kMaxConnections) ConnectionPtr(connections_.front())->Close();
+    const auto connection = std::make_shared<Connection>(*this, std::move(socket));
+    connection->position = connections_.insert(connections_.end(), connection);
+    connection->Start();
     Accept();
   });
 }
 
-HttpResponse Admin::Answer(const http::request<http::string_body>& request) const {
+HttpResponse Admin::Handle(const http::request<http::string_body>& request) const {
   const std::string_view target(request.target().data(), request.target().size());
   const std::string_view path = target.substr(0, target.find('?'));
   if (path == kReadyPath) {
@@ -202,11 +204,11 @@
   }
   if (path == "/servers/disable" || path == "/servers/enable") {
     if (request.method() != http::verb::post) return NotAllowed("POST");
-    return AnswerBan(request.body(), path == "/servers/disable" ? events_.disable : events_.enable);
+    return HandleServerOrder(request.body(), path == "/servers/disable" ? events_.disable : events_.enable);
   }
   if (path == "/zones/drain" || path == "/zones/return") {
     if (request.method() != http::verb::post) return NotAllowed("POST");
-    return AnswerZone(request.body(), path == "/zones/drain", events_);
+    return HandleZoneOrder(request.body(), path == "/zones/drain", events_);
   }
   return Plain(http::status::not_found, "no such call\n");
 }
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -14,13 +14,13 @@
 
 using Json = nlohmann::json;
 
-constexpr double kMostExact = 9007199254740992.0;  // 2^53: whole numbers are exact up to here
+constexpr double kMaxExactInteger = 9007199254740992.0;  // 2^53: doubles represent all integers below it
 
-std::string Scalar(const Json& value) {
+std::string ScalarText(const Json& value) {
   if (value.is_string()) return WireName(value.get<std::string>());
-  if (value.is_number_float()) {  // 250000.0 is a whole number too
+  if (value.is_number_float()) {  // integers such as 250000.0 are written without a fraction
     const double number = value.get<double>();
-    if (std::trunc(number) == number && std::abs(number) < kMostExact)
+    if (std::trunc(number) == number && std::abs(number) < kMaxExactInteger)
       return std::to_string(static_cast<std::int64_t>(number));
   }
   return value.dump();
@@ -33,7 +33,7 @@
       std::any_of(list.begin(), list.end(), [](const Json& item) { return item.is_structured(); });
   if (!objects) {
     std::string joined;
-    for (const Json& item : list) joined += (joined.empty() ? "" : ",") + Scalar(item);
+    for (const Json& item : list) joined += (joined.empty() ? "" : ",") + ScalarText(item);
     out += path + "=" + joined + " ";
     return;
   }
@@ -48,7 +48,7 @@
   } else if (value.is_array()) {
     FlattenList(value, path, out);
   } else if (!value.is_null()) {
-    out += path + "=" + Scalar(value) + " ";
+    out += path + "=" + ScalarText(value) + " ";
   }
 }
 
@@ -64,15 +64,15 @@
   return *address;
 }
 
-// The platform's own goes first. With the further ones comes the list's copy in TMPDIR, so that a start with
-// none of them up finds it; an empty list of them brings the copy alone.
+// The platform's own address comes first. `further_discovery` also enables the copy of the list in TMPDIR,
+// for a start while no registry is up; an empty `further_discovery` enables the copy alone.
 void ReadDiscovery(const Json& json, const std::string& from_environment, Config& config) {
   config.discovery = {Address(json, "discovery", from_environment)};
   if (!json.contains("further_discovery")) return;
   config.stores_list = true;
-  for (const Json& one : json.at("further_discovery")) {
-    const auto address = ParseAddress(one.get<std::string>());
-    if (!address) throw ConfigError("further_discovery " + one.dump() + ": not an address with a port");
+  for (const Json& entry : json.at("further_discovery")) {
+    const auto address = ParseAddress(entry.get<std::string>());
+    if (!address) throw ConfigError("further_discovery " + entry.dump() + ": not an address with a port");
     if (std::find(config.discovery.begin(), config.discovery.end(), *address) == config.discovery.end())
       config.discovery.push_back(*address);
   }
@@ -83,11 +83,11 @@
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (error != std::errc() || end != text.data() + text.size())
-    throw ConfigError("seed '" + text + "': not a number of 64 bits in hex");
+    throw ConfigError("seed '" + text + "': not a 64-bit number in hex");
   return seed;
 }
 
-EndpointList Known(const Json& json, const bench_adapter::WireSettings& names) {
+EndpointList InitialList(const Json& json, const bench_adapter::WireSettings& names) {
   if (!json.contains("known") || json.at("known").is_null()) return {};
   std::string error;
   const auto list = ParseList(json.at("known"), names, error);
@@ -108,7 +108,7 @@
   const bool number = error == std::errc() && end == text.data() + text.size() && socket >= 0;
   if (!number || SocketOption(socket, SO_ACCEPTCONN) != 1 || SocketOption(socket, SO_DOMAIN) != AF_INET ||
       SocketOption(socket, SO_PROTOCOL) != IPPROTO_TCP)
-    throw ConfigError("EDGE_PASSED_SOCKET '" + text + "': no listening TCP socket");
+    throw ConfigError("EDGE_PASSED_SOCKET '" + text + "': not a listening TCP socket over IPv4");
   return socket;
 }
 
@@ -128,14 +128,14 @@
     config.max_descriptors = limits.value("sockets", static_cast<std::uint64_t>(config.max_descriptors));
     config.memory_mb = limits.value("memory_mb", static_cast<std::uint64_t>(config.memory_mb));
   }
-  if (config.max_descriptors < 64) throw ConfigError("limits.sockets: under 64, too few to work with");
-  if (config.memory_mb < 16) throw ConfigError("limits.memory_mb: under 16, too little to work with");
+  if (config.max_descriptors < 64) throw ConfigError("limits.sockets: must be at least 64");
+  if (config.memory_mb < 16) throw ConfigError("limits.memory_mb: must be at least 16");
   config.wire = bench_adapter::ParseSettings(Flatten(json.at("settings")));
-  // Clients use a third of the descriptors at most, with one request on a connection.
+  // Clients use at most a third of the descriptors, with one request per connection.
   const auto connections = static_cast<std::int64_t>(config.max_descriptors / 3);
   std::int64_t& max_open_requests = config.wire.settings.max_open_requests;
   max_open_requests = max_open_requests > 0 ? std::min(max_open_requests, connections) : connections;
-  config.initial_list = Known(json, config.wire);
+  config.initial_list = InitialList(json, config.wire);
   if (config.stores_list && !config.initial_list.endpoints.empty())
     config.initial_list_json = json.at("known").dump();
   return config;
@@ -158,7 +158,7 @@
 std::string Flatten(const Json& settings) {
   std::string out;
   FlattenInto(settings, "", out);
-  if (!out.empty()) out.pop_back();  // the last space
+  if (!out.empty()) out.pop_back();  // the trailing space
   return out;
 }
 
@@ -183,9 +183,9 @@
 
 Config ReloadConfig(const Environment& environment) {
   return LoadConfig([&](const char* name) {
-    // The passed socket may have been closed since, and its number used for another.
-    const std::string_view known(name);
-    return known == "EDGE_DISCOVERY" || known == "EDGE_PASSED_SOCKET" ? nullptr : environment(name);
+    // The passed socket may have been closed since the start, and its descriptor number reused.
+    const std::string_view variable(name);
+    return variable == "EDGE_DISCOVERY" || variable == "EDGE_PASSED_SOCKET" ? nullptr : environment(name);
   });
 }
 
--- a/src/sidecar/config.hpp
+++ b/src/sidecar/config.hpp
@@ -1,4 +1,4 @@
-// What the sidecar is told at its start: the environment and the JSON configuration.
+// The sidecar's configuration at its start: environment variables and the JSON file.
 #ifndef VIOLETWING_SIDECAR_CONFIG_HPP_
 #define VIOLETWING_SIDECAR_CONFIG_HPP_
 
@@ -16,43 +16,46 @@
 
 namespace violetwing::sidecar {
 
+/// An invalid configuration. The text is one line for operators.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+/// The configuration of a sidecar process.
 struct Config {
   std::string name;
   Tcp::endpoint listen;
-  std::vector<Tcp::endpoint> discovery;  // where the list is told; asked in turn, the first first
-  bool stores_list = false;              // in `state_directory`; where further addresses are configured
-  std::optional<Tcp::endpoint> admin;    // the operators' address; none = no such listener
-  std::optional<int> passed_socket;      // listens already: clients come here and not to `listen`
-  std::string state_directory;           // what outlives the process in an upgrade; empty = nothing does
+  std::vector<Tcp::endpoint> discovery;  // addresses of the registries; the first is tried first
+  bool stores_list = false;              // in `state_directory`; set if `further_discovery` is configured
+  std::optional<Tcp::endpoint> admin;    // address for operators; nullopt = no such listener
+  std::optional<int> passed_socket;  // an inherited listening socket for clients, used in place of `listen`
+  std::string state_directory;       // for files that outlive the process; empty = none are stored
   std::uint64_t seed = 0;
-  std::size_t max_descriptors = 1024;  // descriptors that the process may hold
+  std::size_t max_descriptors = 1024;  // file descriptors that the process may have open
   std::size_t memory_mb = 192;
   bench_adapter::WireSettings wire;
-  EndpointList initial_list;      // the list as this sidecar last had it
-  std::string initial_list_json;  // the same as it stands in the configuration; empty where no copy is kept
+  EndpointList initial_list;      // the last list of servers that this sidecar is known to have had
+  std::string initial_list_json;  // the same as JSON; empty if the list is not stored
 };
 
-// The settings in the form that the adapter reads, path=value pairs: one mapping of names serves both.
+/// The settings as the path=value pairs that the bench adapter parses, so that both use one mapping of names.
 std::string Flatten(const nlohmann::json& settings);
 
-// As the wire writes names: no spaces and no commas.
+/// `name` as the wire format writes it: with underscores in place of spaces and commas.
 std::string WireName(std::string_view name);
 
-// Looks up a variable; null if it is not set.
+/// Looks up an environment variable; returns null if it is not set.
 using Environment = std::function<const char*(const char*)>;
 
-// Reads a configuration. What the environment says of addresses goes before what the text says.
+/// Parses a configuration. Addresses in the environment override those in `text`. Throws ConfigError.
 Config ParseConfig(
     const std::string& text, const Environment& environment = [](const char*) { return nullptr; });
 
-// Reads EDGE_CONFIG and what it names. Throws ConfigError, with one plain line, if anything is amiss.
+/// Reads the file that EDGE_CONFIG names. Throws ConfigError if it cannot be read or is invalid.
 Config LoadConfig(const Environment& environment);
-// The same once it runs: the address of discovery is the file's, as the environment keeps that of the start.
+/// Reads the configuration again in a running process. Ignores EDGE_DISCOVERY, as the environment still has
+/// the address of the start, and uses the address in the file. Also ignores EDGE_PASSED_SOCKET.
 Config ReloadConfig(const Environment& environment);
 
 }  // namespace violetwing::sidecar
--- a/src/sidecar/disabled_servers.hpp
+++ b/src/sidecar/disabled_servers.hpp
@@ -1,5 +1,5 @@
-// Servers that operators have taken out, kept in a directory that the processes of an upgrade share: one
-// empty file for each, named after the server.
+// The servers that operators have disabled, stored as one empty file per server in a directory that the old
+// and the new process of an upgrade share.
 #ifndef VIOLETWING_SIDECAR_DISABLED_SERVERS_HPP_
 #define VIOLETWING_SIDECAR_DISABLED_SERVERS_HPP_
 
@@ -12,17 +12,19 @@
 
 namespace violetwing::sidecar {
 
+/// The set of disabled servers on disk.
 class DisabledServers {
  public:
-  // An empty name means that there is no directory: nothing can be kept then.
+  /// If `directory` is empty, nothing can be stored and every call fails.
   explicit DisabledServers(std::string directory)
       : files_(std::move(directory), stored_names::kDisabledServerPrefix) {}
 
-  // False, and nothing has changed, if it cannot be kept. Adding or removing again is no error.
+  /// Return false and change nothing if the file cannot be written or removed. Both are idempotent.
   bool Add(const std::string& server) { return files_.Put(server, ""); }
   bool Remove(const std::string& server) { return files_.Remove(server); }
 
-  // Looks what is there. False, and `servers` is as it was, if the directory cannot be read.
+  /// Reads the stored set into `servers`. Returns false and leaves `servers` unchanged if the directory
+  /// cannot be read.
   bool Read(std::set<std::string>& servers);
 
  private:
--- a/src/sidecar/file_store.cpp
+++ b/src/sidecar/file_store.cpp
@@ -18,9 +18,9 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::size_t kMostName = 100;  // file names end at 255 bytes
+constexpr std::size_t kMaxNameBytes = 100;  // file names are limited to 255 bytes, and hex doubles the length
 
-// Ids may hold what file names may not.
+// Names may contain bytes that are not allowed in file names.
 std::string Hex(const std::string& text) {
   static constexpr char kDigits[] = "0123456789abcdef";
   std::string out;
@@ -42,31 +42,32 @@
     if (error != std::errc() || last != end) return std::nullopt;
     out += static_cast<char>(byte);
   }
-  return Hex(out) == digits ? std::optional(out) : std::nullopt;  // one name for each server
+  // Accepts only the canonical form, so that each name has one file.
+  return Hex(out) == digits ? std::optional(out) : std::nullopt;
 }
 
 }  // namespace
 
-bool FileStore::MayKeep(const std::string& name) const {
-  return !directory_.empty() && !name.empty() && name.size() <= kMostName;
+bool FileStore::CanStore(const std::string& name) const {
+  return !directory_.empty() && !name.empty() && name.size() <= kMaxNameBytes;
 }
 
 std::string FileStore::Path(const std::string& name) const { return directory_ + "/" + prefix_ + Hex(name); }
 
-// Beside it and then renamed, so that the other process never reads half of it.
+// Writes a temporary file and renames it, so that the other process never reads a partial file.
 bool FileStore::Put(const std::string& name, const std::string& text) {
-  if (!MayKeep(name)) return false;
-  const std::string beside = directory_ + "/." + prefix_ + std::to_string(::getpid());
-  std::ofstream out(beside, std::ios::binary);
+  if (!CanStore(name)) return false;
+  const std::string temporary = directory_ + "/." + prefix_ + std::to_string(::getpid());
+  std::ofstream out(temporary, std::ios::binary);
   out << text;
   out.close();
   std::error_code error;
-  if (out) fs::rename(beside, Path(name), error);
+  if (out) fs::rename(temporary, Path(name), error);
   return out && !error;
 }
 
 bool FileStore::Remove(const std::string& name) {
-  return MayKeep(name) && (::unlink(Path(name).c_str()) == 0 || errno == ENOENT);
+  return CanStore(name) && (::unlink(Path(name).c_str()) == 0 || errno == ENOENT);
 }
 
 bool FileStore::Read(std::map<std::string, std::string>& found) {
@@ -83,8 +84,9 @@
       std::ostringstream text;
       if (fs::file_size(it->path(), ignored) > 0) text << std::ifstream(it->path(), std::ios::binary).rdbuf();
       out[*name] = text.str();
-    } else if (complained_.insert(file).second) {
-      std::fprintf(stderr, "by hand: passed over: %.200s\n", file.c_str());
+    } else if (logged_.insert(file).second) {
+      std::fprintf(stderr, "operator orders: ignored entry with an invalid name or type: %.200s\n",
+                   file.c_str());
     }
   }
   if (error) return false;
--- a/src/sidecar/file_store.hpp
+++ b/src/sidecar/file_store.hpp
@@ -1,5 +1,5 @@
-// What operators have said, kept in a directory that the processes of an upgrade share: one file for each
-// name, made and removed whole.
+// Operators' orders on disk, in a directory that the old and the new process of an upgrade share: one file
+// per name, replaced and removed atomically.
 #ifndef VIOLETWING_SIDECAR_FILE_STORE_HPP_
 #define VIOLETWING_SIDECAR_FILE_STORE_HPP_
 
@@ -9,27 +9,28 @@
 
 namespace violetwing::sidecar {
 
+/// A map from names to texts, stored as files whose names are a prefix and the name in hex.
 class FileStore {
  public:
-  // An empty directory means that there is none: nothing can be kept then.
+  /// If `directory` is empty, nothing can be stored and every call fails.
   FileStore(std::string directory, std::string prefix)
       : directory_(std::move(directory)), prefix_(std::move(prefix)) {}
 
-  // False, and nothing has changed, if it cannot be kept. Keeping or removing again is no error.
+  /// Return false and change nothing if the file cannot be written or removed. Both are idempotent.
   bool Put(const std::string& name, const std::string& text);
   bool Remove(const std::string& name);
 
-  // Texts by name. False, and `found` is as it was, if the directory cannot be read. Other files are passed
-  // over; those that look like one of these are named in the log once.
+  /// Reads all texts by name. Returns false and leaves `found` unchanged if the directory cannot be read.
+  /// Skips unrelated files; logs each entry once that has the prefix but an invalid name or type.
   bool Read(std::map<std::string, std::string>& found);
 
  private:
-  bool MayKeep(const std::string& name) const;
+  bool CanStore(const std::string& name) const;
   std::string Path(const std::string& name) const;
 
   const std::string directory_;
   const std::string prefix_;
-  std::set<std::string> complained_;
+  std::set<std::string> logged_;
 };
 
 }  // namespace violetwing::sidecar
--- a/src/sidecar/last_list.cpp
+++ b/src/sidecar/last_list.cpp
@@ -13,11 +13,11 @@
 namespace violetwing::sidecar {
 namespace {
 
-// A fleet that rolls changes its list many times a second, and a list of thousands takes milliseconds to
-// word.
-constexpr auto kWriteAfter = std::chrono::seconds(2);
+// Delay that combines changes into one write: during a rolling restart the list changes many times a second,
+// and serializing a list of thousands of servers takes milliseconds.
+constexpr auto kWriteDelay = std::chrono::seconds(2);
 
-bool Gone(const nlohmann::json& entry) { return entry.at("lifecycle") == "removed"; }
+bool IsRemoved(const nlohmann::json& entry) { return entry.at("lifecycle") == "removed"; }
 std::string IdOf(const nlohmann::json& entry) { return entry.at("instanceId").get<std::string>(); }
 
 }  // namespace
@@ -27,11 +27,11 @@
     : file_((std::filesystem::path(directory) / kFile).string()), names_(names), timer_(io) {}
 
 LastList::~LastList() {
-  if (!pending_) return;
+  if (!write_pending_) return;
   try {
     Write();
-  } catch (const std::exception& error) {  // no memory: the copy stays as it was
-    std::fprintf(stderr, "discovery: the list's copy is not written: %s\n", error.what());
+  } catch (const std::exception& error) {  // out of memory: the previous copy remains
+    std::fprintf(stderr, "discovery: cannot write the copy of the server list: %s\n", error.what());
   }
 }
 
@@ -39,82 +39,83 @@
   std::ifstream in(file_, std::ios::binary);
   if (!in) return std::nullopt;
   auto json = nlohmann::json::parse(in, nullptr, /*allow_exceptions=*/false);
-  std::string error = "no JSON";
+  std::string error = "not valid JSON";
   const auto list = json.is_discarded() ? std::nullopt : ParseList(json, names_, error);
-  if (list && (!list->complete || list->endpoints.empty())) error = "no whole list";
+  if (list && (!list->complete || list->endpoints.empty())) error = "not a complete list with servers";
   if (list && error.empty()) {
     parsed = *list;
     return json;
   }
-  std::fprintf(stderr, "discovery: the copy in TMPDIR is not used: %.200s\n", error.c_str());
+  std::fprintf(stderr, "discovery: ignored the copy of the server list in TMPDIR: %.200s\n", error.c_str());
   return std::nullopt;
 }
 
 std::optional<EndpointList> LastList::Load(const std::string& known) {
-  if (!known.empty()) Adopt(nlohmann::json::parse(known));
-  EndpointList kept;
-  const auto copy = ReadCopy(kept);
-  if (!copy || kept.generation <= generation_) return std::nullopt;
-  Adopt(*copy);
-  return kept;
+  if (!known.empty()) Apply(nlohmann::json::parse(known));
+  EndpointList stored;
+  const auto copy = ReadCopy(stored);
+  if (!copy || stored.generation <= generation_) return std::nullopt;
+  Apply(*copy);
+  return stored;
 }
 
 bool LastList::Update(const nlohmann::json& list, std::string& reason) {
-  if (!list.at("reset").get<bool>() && LeavesNone(list.at("instances"))) {
-    reason = "changes that leave no server";
+  if (!list.at("reset").get<bool>() && WouldRemoveAll(list.at("instances"))) {
+    reason = "the changes would leave no server";
     return false;
   }
-  Adopt(list);
-  WriteLater();
+  Apply(list);
+  ScheduleWrite();
   return true;
 }
 
-bool LastList::LeavesNone(const nlohmann::json& changes) const {
+bool LastList::WouldRemoveAll(const nlohmann::json& changes) const {
   if (entries_.empty() || changes.size() < entries_.size()) return false;
-  std::set<std::string> left;
-  for (const auto& [id, entry] : entries_) left.insert(id);
+  std::set<std::string> remaining;
+  for (const auto& [id, entry] : entries_) remaining.insert(id);
   for (const auto& entry : changes) {
-    if (Gone(entry))
-      left.erase(IdOf(entry));
+    if (IsRemoved(entry))
+      remaining.erase(IdOf(entry));
     else
-      left.insert(IdOf(entry));
+      remaining.insert(IdOf(entry));
   }
-  return left.empty();
+  return remaining.empty();
 }
 
-void LastList::Adopt(const nlohmann::json& list) {
+void LastList::Apply(const nlohmann::json& list) {
   if (list.at("reset").get<bool>()) entries_.clear();
   generation_ = list.at("generation").get<std::int64_t>();
   for (const auto& entry : list.at("instances")) {
-    if (Gone(entry))
+    if (IsRemoved(entry))
       entries_.erase(IdOf(entry));
     else
       entries_[IdOf(entry)] = entry;
   }
 }
 
-void LastList::WriteLater() {
-  if (std::exchange(pending_, true)) return;
-  timer_.expires_after(kWriteAfter);
+void LastList::ScheduleWrite() {
+  if (std::exchange(write_pending_, true)) return;
+  timer_.expires_after(kWriteDelay);
   timer_.async_wait([this](ErrorCode error) {
     if (!error) Write();
   });
 }
 
-// Beside it and then renamed, so that no start finds half of it. Two processes of an upgrade write under
-// names of their own. It is not forced to disk: a crash of the machine may leave what Read passes over.
+// Writes a temporary file and renames it, so that no start reads a partial file. The temporary name has the
+// process id, as both processes of an upgrade write. There is no fsync: a crash of the machine may leave an
+// invalid file, which ReadCopy ignores.
 void LastList::Write() {
-  pending_ = false;
+  write_pending_ = false;
   nlohmann::json instances = nlohmann::json::array();
   for (const auto& [id, entry] : entries_) instances.push_back(entry);
-  const std::string beside = file_ + "." + std::to_string(::getpid());
-  std::ofstream out(beside, std::ios::binary);
+  const std::string temporary = file_ + "." + std::to_string(::getpid());
+  std::ofstream out(temporary, std::ios::binary);
   out << nlohmann::json({{"generation", generation_}, {"reset", true}, {"instances", std::move(instances)}});
   out.close();
   std::error_code error;
-  if (out) std::filesystem::rename(beside, file_, error);
-  if ((!out || error) && !std::exchange(complained_, true))
-    std::fprintf(stderr, "discovery: the list's copy cannot be written to TMPDIR\n");
+  if (out) std::filesystem::rename(temporary, file_, error);
+  if ((!out || error) && !std::exchange(logged_write_failure_, true))
+    std::fprintf(stderr, "discovery: cannot write the copy of the server list to TMPDIR\n");
 }
 
 }  // namespace violetwing::sidecar
--- a/src/sidecar/metrics.cpp
+++ b/src/sidecar/metrics.cpp
@@ -9,10 +9,10 @@
   }
 }
 
-void Metrics::RequestEnded(int request_class, RequestOutcome end) {
+void Metrics::RequestEnded(int request_class, RequestOutcome outcome) {
   --pending_;
   PerClass& counts = classes_[static_cast<std::size_t>(request_class)];
-  switch (end) {
+  switch (outcome) {
     case RequestOutcome::kCompleted:
       ++counts.completed;
       return;
@@ -31,10 +31,10 @@
     text += "sidecar." + name + "=" + std::to_string(value) + "\n";
   };
   for (const PerClass& c : classes_) {
-    const std::string at = "downstream_requests." + c.name + ".";
-    line(at + "completed", c.completed);
-    line(at + "rejected", c.rejected);
-    line(at + "failed", c.failed);
+    const std::string prefix = "downstream_requests." + c.name + ".";
+    line(prefix + "completed", c.completed);
+    line(prefix + "rejected", c.rejected);
+    line(prefix + "failed", c.failed);
   }
   line("upstream_requests", upstream_requests_);
   line("pending", pending_);
--- a/src/sidecar/metrics.hpp
+++ b/src/sidecar/metrics.hpp
@@ -1,4 +1,4 @@
-// The figures that operators fetch: counters from the start of the process on.
+// The metrics for operators: counters since the start of the process, and gauges.
 #ifndef VIOLETWING_SIDECAR_METRICS_HPP_
 #define VIOLETWING_SIDECAR_METRICS_HPP_
 
@@ -10,18 +10,22 @@
 
 namespace violetwing::sidecar {
 
+/// Counts requests by class and result.
 class Metrics {
  public:
+  /// How a request ended; one that its client abandoned has none of these.
   enum class RequestOutcome { kCompleted, kRejected, kFailed };
 
   explicit Metrics(const std::vector<RequestClass>& classes);
 
+  /// A request counts as pending from RequestReceived until RequestEnded or ClientDisconnected.
   void RequestReceived() { ++pending_; }
-  void RequestEnded(int request_class, RequestOutcome end);
-  void ClientDisconnected() { --pending_; }  // before its answer: its request ended as none of the three
+  void RequestEnded(int request_class, RequestOutcome outcome);
+  void ClientDisconnected() { --pending_; }  // before the response; not counted as any RequestOutcome
+  /// An attempt was written to a server.
   void AttemptSent() { ++upstream_requests_; }
 
-  // One `name=value` a line.
+  /// All metrics as `name=value` lines.
   std::string Text(const Membership& membership) const;
 
  private:
--- a/src/sidecar/operator_orders.cpp
+++ b/src/sidecar/operator_orders.cpp
@@ -8,9 +8,9 @@
 namespace violetwing::sidecar {
 namespace {
 
-// How often a process looks for what another one was told: what that one has said yes to binds after the
-// grace, half a second where it is shortest.
-constexpr auto kPeriod = std::chrono::milliseconds(200);
+// Interval for reading the orders that another process stored. An acknowledged order must be in effect in
+// all processes after the grace period, which is half a second at its shortest.
+constexpr auto kPollInterval = std::chrono::milliseconds(200);
 
 }  // namespace
 
@@ -21,78 +21,81 @@
       balancer_(balancer),
       upstream_(upstream),
       now_(std::move(now)),
-      bans_(directory),
-      zones_(directory),
-      timer_(io) {}
+      disabled_servers_(directory),
+      zone_orders_(directory),
+      poll_timer_(io) {}
 
 void OperatorOrders::Poll() {
-  ApplyBans();
-  ApplyZones();
-  timer_.expires_after(kPeriod);
-  timer_.async_wait([this](ErrorCode error) {
+  ApplyDisabledServers();
+  ApplyZoneOrders();
+  poll_timer_.expires_after(kPollInterval);
+  poll_timer_.async_wait([this](ErrorCode error) {
     if (!error) Poll();
   });
 }
 
-bool OperatorOrders::Known(const std::string& server) const {
+bool OperatorOrders::IsKnown(const std::string& server) const {
   return balancer_.WasListed(server) || balancer_.disabled().count(server) > 0;
 }
 
-Admin::Verdict OperatorOrders::DisableServer(const std::string& server) {
-  if (!Known(server)) return Admin::Verdict::kNeverListed;
-  return bans_.Add(server) && ApplyBans() ? Admin::Verdict::kDone : Admin::Verdict::kNotKept;
+Admin::OrderResult OperatorOrders::DisableServer(const std::string& server) {
+  if (!IsKnown(server)) return Admin::OrderResult::kUnknown;
+  return disabled_servers_.Add(server) && ApplyDisabledServers() ? Admin::OrderResult::kDone
+                                                                 : Admin::OrderResult::kNotStored;
 }
 
-Admin::Verdict OperatorOrders::EnableServer(const std::string& server) {
-  if (!Known(server)) return Admin::Verdict::kNeverListed;
-  return bans_.Remove(server) && ApplyBans() ? Admin::Verdict::kDone : Admin::Verdict::kNotKept;
+Admin::OrderResult OperatorOrders::EnableServer(const std::string& server) {
+  if (!IsKnown(server)) return Admin::OrderResult::kUnknown;
+  return disabled_servers_.Remove(server) && ApplyDisabledServers() ? Admin::OrderResult::kDone
+                                                                    : Admin::OrderResult::kNotStored;
 }
 
-Admin::Verdict OperatorOrders::OrderZone(const std::string& zone, bool drains, Micros over) {
+Admin::OrderResult OperatorOrders::OrderZone(const std::string& zone, bool drains, Micros duration) {
   const int number = bench_adapter::IndexOf(names_.zones, zone);
-  if (number < 0) return Admin::Verdict::kNeverListed;
-  if (drains && !balancer_.HasUsableServerOutside(number)) return Admin::Verdict::kLast;
+  if (number < 0) return Admin::OrderResult::kUnknown;
+  if (drains && !balancer_.HasUsableServerOutside(number)) return Admin::OrderResult::kNoServerElsewhere;
   const Micros now = now_();
-  const ZoneOrder order{drains, now, over, balancer_.ZoneTrafficShare(now, number)};
-  return zones_.Put(zone, order) && ApplyZones() ? Admin::Verdict::kDone : Admin::Verdict::kNotKept;
+  const ZoneOrder order{drains, now, duration, balancer_.ZoneTrafficShare(now, number)};
+  return zone_orders_.Put(zone, order) && ApplyZoneOrders() ? Admin::OrderResult::kDone
+                                                            : Admin::OrderResult::kNotStored;
 }
 
-// False if they cannot be read.
-bool OperatorOrders::ApplyBans() {
-  std::set<std::string> kept;
-  if (!bans_.Read(kept)) return false;
+// Returns false if the stored set cannot be read.
+bool OperatorOrders::ApplyDisabledServers() {
+  std::set<std::string> stored;
+  if (!disabled_servers_.Read(stored)) return false;
   const std::set<std::string> before = balancer_.disabled();
-  for (const std::string& server : kept) {
+  for (const std::string& server : stored) {
     if (before.count(server) > 0) continue;
     balancer_.Disable(now_(), server);
     upstream_.Retire(server);
   }
   for (const std::string& server : before)
-    if (kept.count(server) == 0) balancer_.Enable(now_(), server);
+    if (stored.count(server) == 0) balancer_.Enable(now_(), server);
   return true;
 }
 
-bool OperatorOrders::ApplyZones() {
-  std::map<std::string, ZoneOrder> kept;
-  if (!zones_.Read(kept)) return false;
+bool OperatorOrders::ApplyZoneOrders() {
+  std::map<std::string, ZoneOrder> stored;
+  if (!zone_orders_.Read(stored)) return false;
   const Micros now = now_();
-  for (const auto& [zone, order] : kept) {
+  for (const auto& [zone, order] : stored) {
     const int number = bench_adapter::IndexOf(names_.zones, zone);
-    if (number < 0) continue;  // of other settings
-    const auto it = applied_.find(zone);
-    if (it == applied_.end() || it->second != order) balancer_.SetZoneOrder(now, number, order);
+    if (number < 0) continue;  // stored by a process with other settings
+    const auto it = applied_orders_.find(zone);
+    if (it == applied_orders_.end() || it->second != order) balancer_.SetZoneOrder(now, number, order);
     if (!order.draining && balancer_.ZoneTrafficShare(now, number) >= 1)
-      zones_.Remove(zone);  // it has returned
+      zone_orders_.Remove(zone);  // the return is complete
   }
-  for (const auto& [zone, order] : applied_)
-    if (kept.count(zone) == 0) balancer_.ClearZoneOrder(bench_adapter::IndexOf(names_.zones, zone));
-  applied_ = std::move(kept);
+  for (const auto& [zone, order] : applied_orders_)
+    if (stored.count(zone) == 0) balancer_.ClearZoneOrder(bench_adapter::IndexOf(names_.zones, zone));
+  applied_orders_ = std::move(stored);
   return true;
 }
 
 std::string OperatorOrders::ZoneMetrics() const {
   std::string out;
-  for (const auto& [zone, order] : applied_) {
+  for (const auto& [zone, order] : applied_orders_) {
     const int number = bench_adapter::IndexOf(names_.zones, zone);
     const double open = number < 0 ? 1 : balancer_.ZoneTrafficShare(now_(), number);
     if (open < 1) out += "sidecar.zone." + zone + ".open=" + std::to_string(open) + "\n";
--- a/src/sidecar/stored_names.hpp
+++ b/src/sidecar/stored_names.hpp
@@ -1,15 +1,15 @@
-// Names of the files that the sidecar keeps in TMPDIR. The processes of an upgrade share them, so that they
-// stay as the first version wrote them, under the program's earlier name.
+// Names of the files that the sidecar stores in TMPDIR. The old and the new process of an upgrade share them,
+// so they keep the names that the first version used, which have the program's earlier name in them.
 #ifndef VIOLETWING_SIDECAR_STORED_NAMES_HPP_
 #define VIOLETWING_SIDECAR_STORED_NAMES_HPP_
 
 namespace violetwing::sidecar::stored_names {
 
-/// An empty file for each server that an operator has taken out; the server's id follows in hex.
+/// Prefix of an empty file for each server that an operator disabled; the server's id follows in hex.
 inline constexpr const char* kDisabledServerPrefix = "fennelhollow-ban-";
-/// An order for a zone as text (zone_orders.hpp); the zone's name follows in hex.
+/// Prefix of a file with an order for a zone as text (zone_orders.hpp); the zone's name follows in hex.
 inline constexpr const char* kZonePrefix = "fennelhollow-zone-";
-/// Present once a process has taken clients: the next one succeeds it.
+/// Exists once a process has served clients, so that the next process starts as its successor.
 inline constexpr const char* kServed = "fennelhollow-served";
 /// The last complete list of servers, in discovery's JSON form (last_list.hpp).
 inline constexpr const char* kLastList = "fennelhollow-last-list.json";
--- a/src/sidecar/zone_orders.cpp
+++ b/src/sidecar/zone_orders.cpp
@@ -13,14 +13,14 @@
 
 std::optional<ZoneOrder> ParseOrder(const std::string& text) {
   std::istringstream in(text);
-  std::string what;
-  std::string more;
+  std::string verb;
+  std::string trailing;
   ZoneOrder out;
-  in >> what >> out.start >> out.duration >> out.initial_share;
-  if (!in || in >> more || (what != "drain" && what != "return")) return std::nullopt;
+  in >> verb >> out.start >> out.duration >> out.initial_share;
+  if (!in || in >> trailing || (verb != "drain" && verb != "return")) return std::nullopt;
   if (out.start < 0 || out.duration < 0 || !(out.initial_share >= 0 && out.initial_share <= 1))
     return std::nullopt;
-  out.draining = what == "drain";
+  out.draining = verb == "drain";
   return out;
 }
 
@@ -31,8 +31,9 @@
   for (const auto& [zone, text] : found) {
     if (const auto order = ParseOrder(text))
       orders[zone] = *order;
-    else if (std::exchange(complained_[zone], text) != text)
-      std::fprintf(stderr, "by hand: no order for zone %.100s: %.100s\n", zone.c_str(), text.c_str());
+    else if (std::exchange(logged_[zone], text) != text)
+      std::fprintf(stderr, "operator orders: ignored malformed order for zone %.100s: %.100s\n", zone.c_str(),
+                   text.c_str());
   }
   return true;
 }
--- a/tests/sidecar/config_test.cpp
+++ b/tests/sidecar/config_test.cpp
@@ -1,4 +1,4 @@
-// Configuration: names shared with the adapter's parser, and what is wrong said plainly.
+// Configuration: settings in the adapter's form, addresses, defaults and errors.
 #include "sidecar/config.hpp"
 
 #include "sidecar/loopback.hpp"
@@ -9,7 +9,7 @@
 using namespace testing;  // NOLINT(google-build-using-namespace)
 using Json = nlohmann::json;
 
-TEST(Config, FlattensSettingsIntoTheAdaptersPairs) {
+TEST(Config, FlattensSettingsIntoAdapterPairs) {
   const Json settings = {{"allowed", {{"cancel", true}, {"open_cap", 250000.0}}},
                          {"azs", {"a b", "c,d"}},
                          {"costs", {{"waste", 0.04}}},
@@ -21,7 +21,7 @@
             "grades.0.name=x grades.1.name=y tenants=");
 }
 
-TEST(Config, TakesFurtherDiscoveryAddressesOnceEach) {
+TEST(Config, DeduplicatesFurtherDiscoveryAddresses) {
   const Tcp::endpoint at(asio::ip::make_address("127.0.0.1"), 81);
   Json json = ConfigJson(at, {Entry("s1", at)});
   json["further_discovery"] = {"127.0.0.1:82", "127.0.0.1:81"};
@@ -36,13 +36,13 @@
   }
 }
 
-TEST(Config, ReadsAllThatASidecarIsTold) {
+TEST(Config, ReadsFileAndEnvironment) {
   const Tcp::endpoint at(asio::ip::make_address("127.0.0.1"), 81);
   const Config config = ParseConfig(ConfigJson(at, {Entry("s1", at)}).dump(), [](const char* name) {
     if (std::string_view(name) == "EDGE_LISTEN") return "127.0.0.2:80";
     return std::string_view(name) == "EDGE_ADMIN" ? "127.0.0.2:81" : nullptr;
   });
-  EXPECT_EQ(Text(config.listen), "127.0.0.2:80");  // the environment's
+  EXPECT_EQ(Text(config.listen), "127.0.0.2:80");  // from the environment
   ASSERT_EQ(config.discovery.size(), 1U);
   EXPECT_EQ(Text(config.discovery[0]), "127.0.0.1:81");
   EXPECT_FALSE(config.stores_list);
@@ -58,26 +58,26 @@
   EXPECT_EQ(config.initial_list.endpoints[0].address, at);
 }
 
-TEST(Config, SaysWhatIsWrongInOneLine) {
+TEST(Config, ReportsErrorsInOneLine) {
   const Tcp::endpoint at(asio::ip::make_address("127.0.0.1"), 81);
   std::vector<std::string> texts = {"", "{", "[]", "{}"};
-  const auto spoil = [&](const char* path, const Json& value) {
+  const auto set_invalid = [&](const char* path, const Json& value) {
     Json json = ConfigJson(at, {Entry("s1", at)});
     json[Json::json_pointer(path)] = value;
     texts.push_back(json.dump());
   };
-  spoil("/listen", "nowhere");
-  spoil("/discovery", 7);
-  spoil("/admin", "anywhere");
-  spoil("/seed", "xyz");
-  spoil("/limits/sockets", 3);
-  spoil("/settings/grades/0/repeat", "sometimes");
-  spoil("/settings/quantum_us", "soon");
-  spoil("/known/instances/0/lifecycle", "unsure");
+  set_invalid("/listen", "nowhere");
+  set_invalid("/discovery", 7);
+  set_invalid("/admin", "anywhere");
+  set_invalid("/seed", "xyz");
+  set_invalid("/limits/sockets", 3);
+  set_invalid("/settings/grades/0/repeat", "sometimes");
+  set_invalid("/settings/quantum_us", "soon");
+  set_invalid("/known/instances/0/lifecycle", "unsure");
   for (const std::string& text : texts) {
     try {
       ParseConfig(text);
-      ADD_FAILURE() << "taken: " << text;
+      ADD_FAILURE() << "accepted: " << text;
     } catch (const ConfigError& error) {
       EXPECT_EQ(std::string(error.what()).find('\n'), std::string::npos);
     }
--- a/tests/sidecar/disabled_servers_test.cpp
+++ b/tests/sidecar/disabled_servers_test.cpp
@@ -1,4 +1,4 @@
-// The files that keep what operators have taken out.
+// Storage of the servers that operators have disabled.
 #include "sidecar/disabled_servers.hpp"
 
 #include <gtest/gtest.h>
@@ -24,41 +24,41 @@
   fs::path directory;
 };
 
-TEST_F(DisabledServersTest, OneProcessSeesWhatTheOtherKeeps) {
+TEST_F(DisabledServersTest, SharesTheStoredSetBetweenProcesses) {
   DisabledServers one(directory);
   DisabledServers two(directory);
-  const std::string odd = "s/../\xff \n";
+  const std::string unsafe_id = "s/../\xff \n";
   EXPECT_TRUE(one.Add("s1"));
   EXPECT_TRUE(one.Add("s1"));
-  EXPECT_TRUE(two.Add(odd));
-  std::set<std::string> kept;
-  EXPECT_TRUE(two.Read(kept));
-  EXPECT_EQ(kept, (std::set<std::string>{"s1", odd}));
+  EXPECT_TRUE(two.Add(unsafe_id));
+  std::set<std::string> stored;
+  EXPECT_TRUE(two.Read(stored));
+  EXPECT_EQ(stored, (std::set<std::string>{"s1", unsafe_id}));
   EXPECT_TRUE(two.Remove("s1"));
   EXPECT_TRUE(one.Remove("s1"));
-  EXPECT_TRUE(one.Read(kept));
-  EXPECT_EQ(kept, std::set<std::string>{odd});
+  EXPECT_TRUE(one.Read(stored));
+  EXPECT_EQ(stored, std::set<std::string>{unsafe_id});
 }
 
-TEST_F(DisabledServersTest, ForeignFilesDropNoBan) {
-  DisabledServers bans(directory);
-  EXPECT_TRUE(bans.Add("s1"));
+TEST_F(DisabledServersTest, IgnoresUnrelatedFiles) {
+  DisabledServers disabled(directory);
+  EXPECT_TRUE(disabled.Add("s1"));
   for (const char* name : {"fennelhollow-ban-", "fennelhollow-ban-7", "fennelhollow-ban-zz", "other"})
     std::ofstream(directory / name) << "{ half";
-  fs::create_directory(directory / "fennelhollow-ban-7332");  // s2's name, and no file
-  std::set<std::string> kept;
-  EXPECT_TRUE(bans.Read(kept));
-  EXPECT_EQ(kept, std::set<std::string>{"s1"});
+  fs::create_directory(directory / "fennelhollow-ban-7332");  // the name for s2, but a directory
+  std::set<std::string> stored;
+  EXPECT_TRUE(disabled.Read(stored));
+  EXPECT_EQ(stored, std::set<std::string>{"s1"});
 }
 
-TEST_F(DisabledServersTest, SaysSoWhenABanCannotBeKept) {
+TEST_F(DisabledServersTest, FailsWhenAServerCannotBeStored) {
   EXPECT_FALSE(DisabledServers("").Add("s1"));
   EXPECT_FALSE(DisabledServers(directory / "missing").Add("s1"));
   EXPECT_FALSE(DisabledServers(directory).Add(std::string(101, 'x')));
   EXPECT_FALSE(DisabledServers(directory).Add(""));
-  std::set<std::string> kept{"s1"};
-  EXPECT_FALSE(DisabledServers(directory / "missing").Read(kept));
-  EXPECT_EQ(kept, std::set<std::string>{"s1"});
+  std::set<std::string> stored{"s1"};
+  EXPECT_FALSE(DisabledServers(directory / "missing").Read(stored));
+  EXPECT_EQ(stored, std::set<std::string>{"s1"});
 }
 
 }  // namespace
--- a/tests/sidecar/discovery_test.cpp
+++ b/tests/sidecar/discovery_test.cpp
@@ -1,4 +1,4 @@
-// The watch, its reopenings, and lists that make no sense.
+// The watch, its reopening, and invalid lists.
 #include "sidecar/discovery.hpp"
 
 #include <algorithm>
@@ -18,7 +18,8 @@
 
 class DiscoveryTest : public ::testing::Test {
  protected:
-  // A discovery whose n-th watch begins with the n-th of `scripts`; the last one serves all further watches.
+  // Starts discovery. The server sends the n-th of `scripts` on the n-th watch, and the last one on all later
+  // watches.
   void Start(std::vector<std::string> scripts, Discovery::Timing timing = {}) {
     server = std::make_unique<ScriptedServer>(io, [this, scripts](Peer& peer) {
       if (peer.requests() != 1) return;
@@ -26,7 +27,7 @@
       peer.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + scripts[n]);
       if (scripts[n].empty()) peer.Close();
     });
-    timing.backoff_base = timing.backoff_most = 2'000;
+    timing.backoff_base = timing.backoff_max = 2'000;
     discovery = std::make_unique<Discovery>(
         io, std::vector{server->address}, names, timing, 1,
         Discovery::Events{
@@ -46,7 +47,7 @@
   int failures = 0;
 };
 
-TEST_F(DiscoveryTest, DeliversEachLineHoweverItIsCut) {
+TEST_F(DiscoveryTest, DeliversEachLineRegardlessOfChunkBoundaries) {
   const std::string line = Line(43, "s-b");
   Start({Chunk(Line(42, "s-a")) + Chunk("\n") + Chunk(line.substr(0, 20)) + Chunk(line.substr(20) + "\n")});
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 2; }));
@@ -59,8 +60,8 @@
   EXPECT_EQ(failures, 0);
 }
 
-TEST_F(DiscoveryTest, TakesIndentedLists) {
-  // With brackets and quotes in a string, in pieces of one byte, and one that is broken off by an empty line.
+TEST_F(DiscoveryTest, AcceptsIndentedLists) {
+  // Covers brackets and quotes in a string, chunks of one byte, and a list that an empty line cuts off.
   const std::string list =
       List(42, false, {Entry("s\"]}", {asio::ip::make_address("127.0.0.1"), 80})}).dump(2) + "\n";
   std::string pieces;
@@ -70,16 +71,16 @@
   Start({pieces + Chunk("\n" + Line(43, "s-b")) + Chunk(broken.substr(0, broken.rfind('\n') + 1) + "\n"),
          Chunk(Line(44, "s-c"))});
   const bool whole = RunUntil(io, [&] { return lists.size() == 3; });
-  const std::string said = ::testing::internal::GetCapturedStderr();
+  const std::string logged = ::testing::internal::GetCapturedStderr();
   ASSERT_TRUE(whole);
   EXPECT_EQ(lists[0].endpoints[0].info.id, "s\"]}");
   EXPECT_EQ(lists[1].generation, 43);
   EXPECT_EQ(lists[2].generation, 44);
   EXPECT_EQ(failures, 1);
-  EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1) << said;
+  EXPECT_EQ(std::count(logged.begin(), logged.end(), '\n'), 1) << logged;
 }
 
-TEST_F(DiscoveryTest, ReopensAWatchThatEndsFromWhereItWas) {
+TEST_F(DiscoveryTest, ReopensAnEndedWatchFromTheLastGeneration) {
   Start({Chunk(Line(42, "s-a")) + "0\r\n\r\n", Chunk(Line(43, "s-b"))});
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 2; }));
   EXPECT_NE(server->peers[1]->received.find("index=42 "), std::string::npos);
@@ -88,96 +89,101 @@
 
 TEST_F(DiscoveryTest, ReopensAWatchThatFallsSilent) {
   Discovery::Timing timing;
-  timing.silence = 100'000;
+  timing.silence_timeout = 100'000;
   Start({Chunk(Line(42, "s-a")), Chunk(Line(43, "s-b"))}, timing);
   EXPECT_TRUE(RunUntil(io, [&] { return lists.size() >= 2; }));
 }
 
-// Its end is met with a word of the watch that nobody has read yet.
-TEST_F(DiscoveryTest, ASilenceThatEndsWithAWordIsNone) {
+// Guards against a watch that is closed as silent while received data is unread: a blocked event loop runs
+// the silence timer before it reads.
+TEST_F(DiscoveryTest, UnreadDataPreventsTheSilenceTimeout) {
   Discovery::Timing timing;
-  timing.silence = 100'000;
+  timing.silence_timeout = 100'000;
   Start({Chunk(Line(42, "s-a"))}, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 1; }));
-  asio::steady_timer word(io, 1ms);
-  word.async_wait([&](ErrorCode) { server->peers[0]->Write(Chunk(Line(43, "s-b"))); });
-  // Both times are over when the loop goes on; the word's is the earlier.
+  asio::steady_timer data_timer(io, 1ms);
+  data_timer.async_wait([&](ErrorCode) { server->peers[0]->Write(Chunk(Line(43, "s-b"))); });
+  // Both timers have expired when the loop continues; the one for the data is the earlier one.
   asio::post(io, [] { HoldUntil(std::chrono::steady_clock::now() + 150ms); });
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 2; }));
   EXPECT_EQ(failures, 0);
 }
 
-// Its connection comes up and nothing is ever said on it: no header, or a header and no line.
-TEST_F(DiscoveryTest, ReopensAWatchThatIsSilentFromItsFirstByte) {
+// The connection is accepted, but the server sends no header, part of a header, or a header without a line.
+TEST_F(DiscoveryTest, ReopensAWatchThatIsSilentFromTheStart) {
   const std::string header = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  for (const std::string& said : {std::string(), header, header.substr(0, 20)}) {
+  for (const std::string& response : {std::string(), header, header.substr(0, 20)}) {
     ScriptedServer silent(io, [&](Peer& peer) {
-      if (peer.requests() == 1) peer.Write(silent.peers.size() == 1 ? said : header + Chunk(Line(42, "s-a")));
+      if (peer.requests() == 1)
+        peer.Write(silent.peers.size() == 1 ? response : header + Chunk(Line(42, "s-a")));
     });
     Discovery::Timing timing;
-    timing.silence = 100'000;
-    timing.backoff_base = timing.backoff_most = 2'000;
+    timing.silence_timeout = 100'000;
+    timing.backoff_base = timing.backoff_max = 2'000;
     std::int64_t last = 0;
     Discovery follows(io, {silent.address}, names, timing, 1,
                       {{}, [&](const EndpointList& list) { last = list.generation; }, [] {}});
     follows.Watch(41);
-    EXPECT_TRUE(RunUntil(io, [&] { return last == 42; })) << said;
+    EXPECT_TRUE(RunUntil(io, [&] { return last == 42; })) << response;
   }
 }
 
-// Of 6 s in which a silent watch's news counts as told, a second is for the module's wait and one for the
-// answer.
-TEST(DiscoveryTiming, LeavesTimeToBeToldIn) {
+// Lists count as delivered 6 s after a watch fell silent. Of these, one second is for the module's wait and
+// one for the response.
+TEST(DiscoveryTiming, LeavesTimeToReopenAndReceiveTheList) {
   Settings settings;
   settings.must_subscribe = true;
   settings.drain_grace = 400'000;
-  EXPECT_LE(Discovery::TimingFor(settings, 1).silence, 4'000'000);
-  EXPECT_GT(Discovery::TimingFor(settings, 1).silence, 2'000'000 + 1'000'000);  // a line may be late
+  EXPECT_LE(Discovery::TimingFor(settings, 1).silence_timeout, 4'000'000);
+  // Discovery sends a line every 2 s, which may be late.
+  EXPECT_GT(Discovery::TimingFor(settings, 1).silence_timeout, 2'000'000 + 1'000'000);
   EXPECT_FALSE(Discovery::TimingFor(settings, 1).reopens);
-  settings.must_subscribe =
-      false;  // pushed: told at once when the agent is back, and the grace is what is left
+  // Pushed lists count as delivered once the sidecar is reachable, so only the grace period remains.
+  settings.must_subscribe = false;
   EXPECT_TRUE(Discovery::TimingFor(settings, 1).reopens);
-  EXPECT_LE(Discovery::TimingFor(settings, 1).backoff_most, settings.drain_grace / 2);
+  EXPECT_LE(Discovery::TimingFor(settings, 1).backoff_max, settings.drain_grace / 2);
   EXPECT_LE(Discovery::TimingFor(settings, 1).backoff_base, settings.drain_grace / 2);
 }
 
-TEST_F(DiscoveryTest, KeepsTheOldListOnBadInputAndAsksAgain) {
+TEST_F(DiscoveryTest, KeepsTheOldListOnBadInputAndReopens) {
   const nlohmann::json sideways = {{"instanceId", "s"}, {"lifecycle", "sideways"}};
   const nlohmann::json nowhere = {{"instanceId", "s"}, {"lifecycle", "up"}, {"hostPort", "there"}};
   const nlohmann::json number = {{"instanceId", 7}, {"lifecycle", "up"}};
   std::vector<std::string> bad = {"{nonsense\n", "[]\n", "{\"generation\":1}\n"};
   for (const auto& entry : {sideways, nowhere, number}) bad.push_back(List(50, false, {entry}).dump() + "\n");
-  bad.push_back(List(50, true, {}).dump() + "\n");  // no servers at all: it would leave nothing to send to
-  bad.push_back(Line(40, "s-old"));                 // older than the 41 that it watches from
+  bad.push_back(List(50, true, {}).dump() + "\n");  // a complete list without servers would leave no target
+  bad.push_back(Line(40, "s-old"));                 // older than generation 41, from which it watches
   std::vector<std::string> scripts;
   for (const std::string& line : bad) scripts.push_back(Chunk(line));
   scripts.push_back(Chunk(Line(51, "s-a")));
   ::testing::internal::CaptureStderr();
   Start(scripts);
   const bool served = RunUntil(io, [&] { return !lists.empty(); });
-  const std::string said = ::testing::internal::GetCapturedStderr();
+  const std::string logged = ::testing::internal::GetCapturedStderr();
   ASSERT_TRUE(served);
-  EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1) << said;  // once, however often it comes
+  // It is logged once, although it is received repeatedly.
+  EXPECT_EQ(std::count(logged.begin(), logged.end(), '\n'), 1) << logged;
   EXPECT_EQ(lists[0].generation, 51);
   EXPECT_EQ(failures, static_cast<int>(bad.size()));
 }
 
-TEST_F(DiscoveryTest, ALineWithoutEndEndsTheWatchAndNotTheList) {
+TEST_F(DiscoveryTest, ReopensTheWatchAfterAnOverlongLineAndKeepsTheList) {
   Start({Chunk(Line(42, "s-a")), Chunk(Line(43, "s-b"))});
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 1; }));
-  // More than the kernel holds: written as it is read, for a write that waits would stop the loop for good.
+  // More than the socket buffers hold, so it is written asynchronously: a blocking write would deadlock the
+  // loop.
   const std::string line = Chunk(std::string(8'000'000, 'x'));
   ::testing::internal::CaptureStderr();
   asio::async_write(server->peers[0]->socket, asio::buffer(line), [](ErrorCode, std::size_t) {});
   const bool again = RunUntil(io, [&] { return lists.size() == 2; });
-  const std::string said = ::testing::internal::GetCapturedStderr();
+  const std::string logged = ::testing::internal::GetCapturedStderr();
   ASSERT_TRUE(again);
-  EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1) << said;
+  EXPECT_EQ(std::count(logged.begin(), logged.end(), '\n'), 1) << logged;
   EXPECT_NE(server->peers[1]->received.find("index=42 "), std::string::npos);
 }
 
-// Three registries: the first is gone, the second tells a list of long ago, and the third is followed.
-TEST_F(DiscoveryTest, GoesOnToAnotherAddressWhenOneIsGoneOrStale) {
+// Three registries: the first is unreachable, the second sends a stale list, and the third is to be used.
+TEST_F(DiscoveryTest, SwitchesAddressWhenOneIsUnreachableOrStale) {
   nlohmann::json old = List(41, false, {});
   old["stale"] = true;
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -186,8 +192,8 @@
   ScriptedServer stale(io, [&](Peer& peer) { peer.Write(head + Chunk(old.dump() + "\n")); });
   ScriptedServer fresh(io, [&](Peer& peer) { peer.Write(head + Chunk(Line(42, "s-a"))); });
   Discovery::Timing timing;
-  timing.backoff_base = timing.backoff_most = 2'000;
-  for (std::uint64_t seed = 0; seed < 8; ++seed) {  // some go to the stale one first
+  timing.backoff_base = timing.backoff_max = 2'000;
+  for (std::uint64_t seed = 0; seed < 8; ++seed) {  // with some seeds the stale one is tried first
     std::int64_t last = 0;
     Discovery follows(io, {gone.address, stale.address, fresh.address}, names, timing, seed,
                       {{}, [&](const EndpointList& list) { last = list.generation; }, [] {}});
@@ -200,7 +206,8 @@
   EXPECT_GT(stale.peers.size(), 0U);
 }
 
-// With all of them stale there is nowhere better: the watch stays, and hears at once when its registry does.
+// If all are stale, no address is better: the watch stays open and receives the list as soon as its registry
+// has one.
 TEST_F(DiscoveryTest, StaysAtAStaleAddressWhenAllAreStale) {
   nlohmann::json old = List(41, false, {});
   old["stale"] = true;
@@ -209,14 +216,14 @@
   ScriptedServer one(io, answer);
   ScriptedServer two(io, answer);
   Discovery::Timing timing;
-  timing.backoff_base = timing.backoff_most = 2'000;
-  timing.stale_stay = 3'600'000'000;
+  timing.backoff_base = timing.backoff_max = 2'000;
+  timing.stale_retry = 3'600'000'000;
   std::int64_t last = 0;
   Discovery follows(io, {one.address, two.address}, names, timing, 1,
                     {{}, [&](const EndpointList& list) { last = list.generation; }, [] {}});
   follows.Watch(41);
   const auto asked = [&] { return one.requests() + two.requests(); };
-  ASSERT_TRUE(RunUntil(io, [&] { return asked() == 3; }));  // each, and the first again
+  ASSERT_TRUE(RunUntil(io, [&] { return asked() == 3; }));  // each one, then the first again
   RunFor(io, 50ms);
   EXPECT_EQ(asked(), 3);
   ScriptedServer& at = follows.address() == one.address ? one : two;
@@ -225,7 +232,7 @@
   EXPECT_EQ(asked(), 3);
 }
 
-TEST_F(DiscoveryTest, LeavesReopeningToTheModuleWhereListsAreAskedFor) {
+TEST_F(DiscoveryTest, DoesNotReopenByItselfWhenTheModuleRequestsLists) {
   Discovery::Timing timing;
   timing.reopens = false;
   Start({"0\r\n\r\n"}, timing);
@@ -236,8 +243,8 @@
   EXPECT_TRUE(RunUntil(io, [&] { return watches == 2; }));
 }
 
-// Were the time taken anew for each list, one start would look like ever new ones, with a cold server.
-TEST(ParseList, AStartIsTheSameTimeInEachList) {
+// If the start time differed between lists, each list would look like a restart and make the server cold.
+TEST(ParseList, KeepsTheStartTimeAcrossLists) {
   std::string error;
   const Tcp::endpoint at(asio::ip::make_address("127.0.0.1"), 80);
   for (int i = 0; i < 2; ++i) {
@@ -249,7 +256,7 @@
   }
 }
 
-TEST(ParseAddress, TakesAddressesWithAPortAlone) {
+TEST(ParseAddress, AcceptsOnlyAddressesWithAPort) {
   EXPECT_TRUE(ParseAddress("127.0.0.1:80"));
   for (const char* bad :
        {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:0", "127.0.0.1:99999", "127.0.0.1:8x", "host:80", ":80"})
--- a/tests/sidecar/last_list_test.cpp
+++ b/tests/sidecar/last_list_test.cpp
@@ -1,4 +1,4 @@
-// The copy of the list that a start without a registry begins with.
+// The copy of the server list on disk, for a start while no registry is up.
 #include "sidecar/last_list.hpp"
 
 #include <gtest/gtest.h>
@@ -24,8 +24,8 @@
   }
   ~LastListTest() override { fs::remove_all(directory); }
 
-  // What a process leaves that began with `known` and was told `lists`.
-  void Told(const std::string& known, const std::vector<nlohmann::json>& lists) {
+  // Runs a process that starts from `known` and receives `lists`; it leaves the file.
+  void ReceiveLists(const std::string& known, const std::vector<nlohmann::json>& lists) {
     LastList last(io, directory, names);
     last.Load(known);
     std::string reason;
@@ -41,21 +41,22 @@
   std::string directory;
 };
 
-TEST_F(LastListTest, IsTheWholeListAfterChanges) {
+TEST_F(LastListTest, StoresTheCompleteListAfterChanges) {
   EXPECT_FALSE(Load());
-  Told(List(5, true, {Entry("a", at), Entry("b", at)}).dump(),
-       {List(6, false, {Entry("c", at)}), List(7, false, {Entry("a", at, "removed")})});
-  const auto kept = Load();
-  ASSERT_TRUE(kept);
-  EXPECT_EQ(kept->generation, 7);
-  ASSERT_EQ(kept->endpoints.size(), 2U);
-  EXPECT_EQ(kept->endpoints[0].info.id, "b");
-  EXPECT_EQ(kept->endpoints[1].info.id, "c");
+  ReceiveLists(List(5, true, {Entry("a", at), Entry("b", at)}).dump(),
+               {List(6, false, {Entry("c", at)}), List(7, false, {Entry("a", at, "removed")})});
+  const auto stored = Load();
+  ASSERT_TRUE(stored);
+  EXPECT_EQ(stored->generation, 7);
+  ASSERT_EQ(stored->endpoints.size(), 2U);
+  EXPECT_EQ(stored->endpoints[0].info.id, "b");
+  EXPECT_EQ(stored->endpoints[1].info.id, "c");
   EXPECT_TRUE(Load(List(6, true, {Entry("d", at)}).dump()));
-  EXPECT_FALSE(Load(List(7, true, {Entry("d", at)}).dump()));  // as late: the configuration's stays
+  // With the same generation, the configuration's list is used.
+  EXPECT_FALSE(Load(List(7, true, {Entry("d", at)}).dump()));
 }
 
-TEST_F(LastListTest, TakesNoChangesThatLeaveNoServer) {
+TEST_F(LastListTest, RejectsChangesThatLeaveNoServer) {
   LastList last(io, directory, names);
   last.Load(List(5, true, {Entry("a", at), Entry("b", at)}).dump());
   std::string reason;
@@ -65,14 +66,14 @@
       List(7, false, {Entry("a", at, "removed"), Entry("b", at, "removed"), Entry("c", at)}), reason));
 }
 
-TEST_F(LastListTest, PassesOverACopyThatMakesNoSense) {
+TEST_F(LastListTest, LogsAndIgnoresAnInvalidCopy) {
   for (const std::string& text : {std::string("{\"generation\":9,\"re"), List(9, true, {}).dump(),
                                   List(9, false, {Entry("a", at)}).dump()}) {
     std::ofstream(fs::path(directory) / LastList::kFile) << text;
     ::testing::internal::CaptureStderr();
     EXPECT_FALSE(Load()) << text;
-    const std::string said = ::testing::internal::GetCapturedStderr();
-    EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1) << said;
+    const std::string logged = ::testing::internal::GetCapturedStderr();
+    EXPECT_EQ(std::count(logged.begin(), logged.end(), '\n'), 1) << logged;
   }
 }
 
--- a/tests/sidecar/operator_orders_test.cpp
+++ b/tests/sidecar/operator_orders_test.cpp
@@ -1,4 +1,4 @@
-// What operators say of zones: kept, followed by the other process, and taken up by the next.
+// Zone orders: stored, applied by the other process of an upgrade, and resumed by the next process.
 #include "sidecar/operator_orders.hpp"
 
 #include <cstdlib>
@@ -15,7 +15,7 @@
 using violetwing::balancer::testing::kSec;
 namespace fs = std::filesystem;
 
-TEST(ZoneOrder, IsReadAsItWasWrittenAndNonsenseIsNone) {
+TEST(ZoneOrder, RoundTripsAsTextAndRejectsMalformedText) {
   const ZoneOrder order{true, 1'764'628'000'000'000, 60'000'000, 0.25};
   EXPECT_EQ(ParseOrder(ToText(order)), order);
   for (const char* bad : {"", "drain", "drain 1 2", "drain 1 2 x", "drain 1 2 1.5", "close 1 2 1",
@@ -25,7 +25,7 @@
 
 class OperatorOrdersTest : public ::testing::Test {
  protected:
-  // A process of the sidecar, as far as this goes.
+  // The parts of a sidecar process that apply operators' orders.
   struct Process {
     Process(OperatorOrdersTest& test)
         : balancer(Balancer::Create(test.names.settings, 1, test.now, sink, error)),
@@ -57,38 +57,38 @@
   Micros now = 1'764'628'000 * kSec;
 };
 
-TEST_F(OperatorOrdersTest, AnOrderIsFollowedByTheOtherProcessAndGoesOnInTheNext) {
+TEST_F(OperatorOrdersTest, AppliesAnOrderInTheOtherProcessAndResumesItInTheNext) {
   Process one(*this);
   Process other(*this);
   one.operator_orders.Poll();
   other.operator_orders.Poll();
-  EXPECT_EQ(one.operator_orders.OrderZone("moon", true, 0), Admin::Verdict::kNeverListed);
-  EXPECT_EQ(one.operator_orders.OrderZone("west", true, 60 * kSec), Admin::Verdict::kDone);
-  EXPECT_EQ(one.operator_orders.OrderZone("east", true, 0), Admin::Verdict::kDone);
-  EXPECT_EQ(one.operator_orders.OrderZone("west", true, 0), Admin::Verdict::kLast);
-  EXPECT_EQ(one.operator_orders.OrderZone("east", false, 0), Admin::Verdict::kDone);
+  EXPECT_EQ(one.operator_orders.OrderZone("moon", true, 0), Admin::OrderResult::kUnknown);
+  EXPECT_EQ(one.operator_orders.OrderZone("west", true, 60 * kSec), Admin::OrderResult::kDone);
+  EXPECT_EQ(one.operator_orders.OrderZone("east", true, 0), Admin::OrderResult::kDone);
+  EXPECT_EQ(one.operator_orders.OrderZone("west", true, 0), Admin::OrderResult::kNoServerElsewhere);
+  EXPECT_EQ(one.operator_orders.OrderZone("east", false, 0), Admin::OrderResult::kDone);
   now += 15 * kSec;
   EXPECT_TRUE(RunUntil(io, [&] { return other.balancer->ZoneTrafficShare(now, 1) == 0.75; }));
   EXPECT_EQ(other.operator_orders.ZoneMetrics(), "sidecar.zone.west.open=0.750000\n");
   now += 15 * kSec;
-  Process next(*this);  // after both are gone
+  Process next(*this);  // starts after both others ended
   next.operator_orders.Poll();
   EXPECT_DOUBLE_EQ(next.balancer->ZoneTrafficShare(now, 1), 0.5);
-  EXPECT_EQ(next.operator_orders.OrderZone("west", false, 8 * kSec), Admin::Verdict::kDone);
-  EXPECT_DOUBLE_EQ(next.balancer->ZoneTrafficShare(now, 1), 0.5625);  // from where it was
+  EXPECT_EQ(next.operator_orders.OrderZone("west", false, 8 * kSec), Admin::OrderResult::kDone);
+  EXPECT_DOUBLE_EQ(next.balancer->ZoneTrafficShare(now, 1), 0.5625);  // continues from its previous share
   now += 8 * kSec;
-  EXPECT_TRUE(RunUntil(io, [&] { return fs::is_empty(directory); }));  // nothing is left of it
+  EXPECT_TRUE(RunUntil(io, [&] { return fs::is_empty(directory); }));  // a completed return is deleted
   EXPECT_TRUE(RunUntil(io, [&] { return other.operator_orders.ZoneMetrics().empty(); }));
 }
 
-TEST_F(OperatorOrdersTest, AFileThatHoldsNoOrderIsOneLineAndNoOrder) {
+TEST_F(OperatorOrdersTest, LogsAMalformedOrderFileOnceAndIgnoresIt) {
   Process one(*this);
   std::ofstream(fs::path(directory) / "fennelhollow-zone-77657374") << "drain soon";  // "west"
   ::testing::internal::CaptureStderr();
   one.operator_orders.Poll();
   RunFor(io, 500ms);
-  const std::string said = ::testing::internal::GetCapturedStderr();
-  EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1) << said;
+  const std::string logged = ::testing::internal::GetCapturedStderr();
+  EXPECT_EQ(std::count(logged.begin(), logged.end(), '\n'), 1) << logged;
   EXPECT_EQ(one.balancer->ZoneTrafficShare(now, 1), 1);
 }
 
--- a/tests/sidecar/stored_names_test.cpp
+++ b/tests/sidecar/stored_names_test.cpp
@@ -1,4 +1,4 @@
-// Files in TMPDIR as version ae32720 (the program fennelhollow) has left them are found and read.
+// Files that version ae32720 (when the program was named fennelhollow) left in TMPDIR are found and read.
 #include "sidecar/stored_names.hpp"
 
 #include <gtest/gtest.h>
@@ -28,20 +28,22 @@
   }
   ~StoredNamesTest() override { fs::remove_all(directory); }
 
-  void Leave(const std::string& name, const std::string& text) { std::ofstream(directory / name) << text; }
+  void WriteFile(const std::string& name, const std::string& text) {
+    std::ofstream(directory / name) << text;
+  }
 
   fs::path directory;
 };
 
-TEST_F(StoredNamesTest, ReadsABanOfTheEarlierVersion) {
-  Leave("fennelhollow-ban-7331", "");  // "s1"
+TEST_F(StoredNamesTest, ReadsADisabledServerOfTheEarlierVersion) {
+  WriteFile("fennelhollow-ban-7331", "");  // "s1"
   std::set<std::string> servers;
   ASSERT_TRUE(DisabledServers(directory).Read(servers));
   EXPECT_EQ(servers, std::set<std::string>{"s1"});
 }
 
 TEST_F(StoredNamesTest, ReadsAZoneOrderOfTheEarlierVersion) {
-  Leave("fennelhollow-zone-77657374", "drain 1764628000000000 60000000 0.500000");  // "west"
+  WriteFile("fennelhollow-zone-77657374", "drain 1764628000000000 60000000 0.500000");  // "west"
   std::map<std::string, ZoneOrder> orders;
   ASSERT_TRUE(ZoneOrders(directory).Read(orders));
   ASSERT_EQ(orders.count("west"), 1U);
@@ -52,9 +54,10 @@
 }
 
 TEST_F(StoredNamesTest, ReadsTheLastListOfTheEarlierVersion) {
-  Leave("fennelhollow-last-list.json",
-        R"({"generation":7,"instances":[{"cell":1,"hostPort":"127.0.0.1:80","instanceId":"s1",)"
-        R"("lifecycle":"up","machineType":"std","startedAtMs":0,"weight":1.0,"zone":"east"}],"reset":true})");
+  WriteFile(
+      "fennelhollow-last-list.json",
+      R"({"generation":7,"instances":[{"cell":1,"hostPort":"127.0.0.1:80","instanceId":"s1",)"
+      R"("lifecycle":"up","machineType":"std","startedAtMs":0,"weight":1.0,"zone":"east"}],"reset":true})");
   asio::io_context io;
   const bench_adapter::WireSettings names{{}, {"west", "east"}, {"std"}};
   const auto list = LastList(io, directory, names).Load("");
@@ -64,7 +67,7 @@
   EXPECT_EQ(list->endpoints[0].info.id, "s1");
 }
 
-TEST_F(StoredNamesTest, KeepsTheMarkOfAServingProcess) {
+TEST_F(StoredNamesTest, KeepsTheFileNameThatMarksAServingProcess) {
   EXPECT_STREQ(stored_names::kServed, "fennelhollow-served");
 }
 
