--- a/src/sidecar/metrics.cpp
+++ b/src/sidecar/metrics.cpp
@@ -9,17 +9,17 @@
   }
 }
 
-void Metrics::Ended(int request_class, End end) {
+void Metrics::RequestEnded(int request_class, RequestOutcome outcome) {
   --pending_;
   PerClass& counts = classes_[static_cast<std::size_t>(request_class)];
-  switch (end) {
-    case End::kCompleted:
+  switch (outcome) {
+    case RequestOutcome::kCompleted:
       ++counts.completed;
       return;
-    case End::kRejected:
+    case RequestOutcome::kRejected:
       ++counts.rejected;
       return;
-    case End::kFailed:
+    case RequestOutcome::kFailed:
       ++counts.failed;
       return;
   }
@@ -31,10 +31,10 @@
     text += "sidecar." + name + "=" + std::to_string(value) + "\n";
   };
   for (const PerClass& c : classes_) {
-    const std::string at = "downstream_requests." + c.name + ".";
-    line(at + "completed", c.completed);
-    line(at + "rejected", c.rejected);
-    line(at + "failed", c.failed);
+    const std::string prefix = "downstream_requests." + c.name + ".";
+    line(prefix + "completed", c.completed);
+    line(prefix + "rejected", c.rejected);
+    line(prefix + "failed", c.failed);
   }
   line("upstream_requests", upstream_requests_);
   line("pending", pending_);
--- a/tests/sidecar/stored_names_test.cpp
+++ b/tests/sidecar/stored_names_test.cpp
@@ -1,4 +1,4 @@
-// Files in TMPDIR as version ae32720 (the program fennelhollow) has left them are found and read.
+// Files that version ae32720 (when the program was named fennelhollow) left in TMPDIR are found and read.
 #include "sidecar/stored_names.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 #include <set>
 #include <string>
 
-#include "sidecar/bans.hpp"
+#include "sidecar/disabled_servers.hpp"
 #include "sidecar/last_list.hpp"
 #include "sidecar/zone_orders.hpp"
 
@@ -28,20 +28,22 @@
   }
   ~StoredNamesTest() override { fs::remove_all(directory); }
 
-  void Leave(const std::string& name, const std::string& text) { std::ofstream(directory / name) << text; }
+  void WriteFile(const std::string& name, const std::string& text) {
+    std::ofstream(directory / name) << text;
+  }
 
   fs::path directory;
 };
 
-TEST_F(StoredNamesTest, ReadsABanOfTheEarlierVersion) {
-  Leave("fennelhollow-ban-7331", "");  // "s1"
+TEST_F(StoredNamesTest, ReadsADisabledServerOfTheEarlierVersion) {
+  WriteFile("fennelhollow-ban-7331", "");  // "s1"
   std::set<std::string> servers;
-  ASSERT_TRUE(Bans(directory).Read(servers));
+  ASSERT_TRUE(DisabledServers(directory).Read(servers));
   EXPECT_EQ(servers, std::set<std::string>{"s1"});
 }
 
 TEST_F(StoredNamesTest, ReadsAZoneOrderOfTheEarlierVersion) {
-  Leave("fennelhollow-zone-77657374", "drain 1764628000000000 60000000 0.500000");  // "west"
+  WriteFile("fennelhollow-zone-77657374", "drain 1764628000000000 60000000 0.500000");  // "west"
   std::map<std::string, ZoneOrder> orders;
   ASSERT_TRUE(ZoneOrders(directory).Read(orders));
   ASSERT_EQ(orders.count("west"), 1U);
@@ -52,19 +54,20 @@
 }
 
 TEST_F(StoredNamesTest, ReadsTheLastListOfTheEarlierVersion) {
-  Leave("fennelhollow-last-list.json",
-        R"({"generation":7,"instances":[{"cell":1,"hostPort":"127.0.0.1:80","instanceId":"s1",)"
-        R"("lifecycle":"up","machineType":"std","startedAtMs":0,"weight":1.0,"zone":"east"}],"reset":true})");
+  WriteFile(
+      "fennelhollow-last-list.json",
+      R"({"generation":7,"instances":[{"cell":1,"hostPort":"127.0.0.1:80","instanceId":"s1",)"
+      R"("lifecycle":"up","machineType":"std","startedAtMs":0,"weight":1.0,"zone":"east"}],"reset":true})");
   asio::io_context io;
   const bench_adapter::WireSettings names{{}, {"west", "east"}, {"std"}};
-  const auto list = LastList(io, directory, names).Begin("");
+  const auto list = LastList(io, directory, names).Load("");
   ASSERT_TRUE(list);
   EXPECT_EQ(list->generation, 7);
   ASSERT_EQ(list->endpoints.size(), 1U);
   EXPECT_EQ(list->endpoints[0].info.id, "s1");
 }
 
-TEST_F(StoredNamesTest, KeepsTheMarkOfAServingProcess) {
+TEST_F(StoredNamesTest, KeepsTheFileNameThatMarksAServingProcess) {
   EXPECT_STREQ(stored_names::kServed, "fennelhollow-served");
 }
 
