--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -20,26 +20,27 @@
 
 constexpr Micros kMs = 1000;
 
-// Descriptors for all but clients and servers: standard streams, epoll and its helpers, listener, watch.
-constexpr std::size_t kOtherSockets = 24;
-constexpr std::size_t kAdminSockets = Admin::kMaxConnections + 2;  // besides, where there is a second address
-// Idle connections are closed this far into the time after which servers may close them. Guards against a
-// request that crosses the server's close: it would be reset and may have run.
-constexpr double kIdleShare = 0.7;
-// A final answer leaves this long before the client gives up, as other sidecars share the core and a busy
-// loop is late; a short budget gives up no more than this part of itself.
-constexpr Micros kAnswerMargin = 40 * kMs;
-constexpr double kMostMarginShare = 0.2;
-// A process that succeeds another has 6 s to take clients; it waits so long for a fresh list. The other one
-// serves meanwhile.
-constexpr Micros kMostAwait = 4 * kSecond;
-// The part of the memory that bodies may hold; half of it where two processes share it for a while.
-// Connections need about as much again for what they read and write, and half of the memory stays free.
-constexpr std::size_t kBudgetShare = 8;
-// A long body counts no time before its last byte, nor an answer after its first: both go by progress.
+// Descriptors not used for clients and servers: standard streams, epoll and its helpers, listener, watch.
+constexpr std::size_t kReservedSockets = 24;
+constexpr std::size_t kAdminSockets = Admin::kMaxConnections + 2;  // in addition, with an admin address
+// Idle connections are closed after this share of the time after which servers may close them. Otherwise a
+// request could cross the server's close: it would be reset although it may have been executed.
+constexpr double kIdleTimeoutShare = 0.7;
+// The final response is sent this long before the client's deadline, as other sidecars share the core and a
+// busy event loop runs late. For short deadlines the margin is limited to a share of the budget.
+constexpr Micros kResponseMargin = 40 * kMs;
+constexpr double kMaxMarginShare = 0.2;
+// A process that replaces another must accept clients within 6 s. This is the maximum time that it waits for
+// a fresh list first; the other process serves meanwhile.
+constexpr Micros kMaxListWait = 4 * kSecond;
+// Bodies may use 1 / this of the memory, and half of that if two processes share the memory during an
+// upgrade. Connections need about as much again for their buffers, and half of the memory stays free.
+constexpr std::size_t kBodyMemoryDivisor = 8;
+// No deadline applies before the last byte of a long request body or after the first byte of a streamed
+// response: both are limited by their progress instead.
 constexpr Micros kNoDeadline = 3600 * kSecond;
-// The watch is read before a decision if it was not within this part of the grace that a drain leaves.
-constexpr Micros kNewsShare = 4;
+// The watch is polled ahead of a decision if the last poll is older than 1 / this of the drain grace period.
+constexpr Micros kPollsPerDrainGrace = 4;
 
 std::optional<double> ParseNumber(std::string_view text) {
   double value = 0;
@@ -50,7 +51,7 @@
 
 std::string_view View(beast::string_view text) { return {text.data(), text.size()}; }
 
-// The query parameter that says what a request is about; empty if it has none.
+// Value of the query parameter that names the object of a request; empty if it is missing.
 std::string_view KeyOf(std::string_view target) {
   const std::string name = std::string(kKeyParameter) + "=";
   std::size_t at = target.find('?');
@@ -68,31 +69,32 @@
   std::size_t servers;
 };
 
-// How the descriptors are divided. Where processes succeed each other two are there for a while: the clients,
-// whose connections are a third at most, are divided between them, but each may use its share of servers.
+// Divides the descriptors between clients and servers. During an upgrade over a passed socket two processes
+// run at the same time: they divide the clients, which hold a third of the connections at most, between them,
+// but each may use its full share for servers.
 Shares DescriptorShares(const Config& config) {
-  const std::size_t free = config.max_descriptors - kOtherSockets - (config.admin ? kAdminSockets : 0);
+  const std::size_t free = config.max_descriptors - kReservedSockets - (config.admin ? kAdminSockets : 0);
   if (!config.passed_socket) return {free / 2, free / 2};
   return {free / 2, free / 5};
 }
 
 std::shared_ptr<Budget> BodyBudget(const Config& config) {
-  const std::size_t share = config.passed_socket ? 2 * kBudgetShare : kBudgetShare;
+  const std::size_t share = config.passed_socket ? 2 * kBodyMemoryDivisor : kBodyMemoryDivisor;
   return std::make_shared<Budget>(config.memory_mb * 1024 * 1024 / share);
 }
 
 Upstream::Limits UpstreamLimits(const Config& config) {
   Upstream::Limits limits;
-  limits.keep_idle =
-      static_cast<Micros>(kIdleShare * static_cast<double>(config.wire.settings.connection_idle_timeout));
+  limits.idle_timeout = static_cast<Micros>(
+      kIdleTimeoutShare * static_cast<double>(config.wire.settings.connection_idle_timeout));
   limits.dial_timeout = config.wire.settings.dial_timeout;
-  limits.connections = DescriptorShares(config).servers;
+  limits.max_connections = DescriptorShares(config).servers;
   return limits;
 }
 
-// Unix time and the steady clock compared once: the steady one alone moves afterwards. Were the difference
-// taken anew for each list, one start would be mapped to ever new times, and the module takes a new time for
-// a new start, with a cold server.
+// Offset from the steady clock to Unix time, taken once. If it were taken anew for each list, the start time
+// of one server would keep changing, and the module takes a changed start time for a restart of the server,
+// which is then treated as cold.
 Micros ClockOffset() {
   const auto wall = std::chrono::system_clock::now().time_since_epoch();
   const auto steady = std::chrono::steady_clock::now().time_since_epoch();
@@ -101,8 +103,8 @@
 
 }  // namespace
 
-bool Sidecar::Call::AnyOut() const {
-  return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; });
+bool Sidecar::Call::HasAttemptInFlight() const {
+  return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.in_flight; });
 }
 
 Sidecar::Sidecar(asio::io_context& io, Config config)
@@ -115,10 +117,10 @@
                      ? std::make_unique<LastList>(io, config_.state_directory, config_.wire)
                      : nullptr),
       upstream_(io, UpstreamLimits(config_), budget_,
-                {[this] { metrics_.AttemptSent(); }, [this] { TakeNews(); }}),
+                {[this] { metrics_.AttemptSent(); }, [this] { PollDiscovery(); }}),
       discovery_(io, config_.discovery, config_.wire,
                  Discovery::TimingFor(config_.wire.settings, config_.discovery.size()), config_.seed,
-                 {TakesLists(),
+                 {ListValidator(),
                   [this](const EndpointList& list) {
                     OnList(list.complete ? ListUpdate::Kind::kFull : ListUpdate::Kind::kDelta, list);
                   },
@@ -136,32 +138,36 @@
   Inbound::Events events;
   events.on_request = [this](const Inbound::SessionPtr& session, RequestHead head, const BodyPtr& body,
                              Micros waited) { OnRequest(session, std::move(head), body, waited); };
-  events.on_gone = [this](const Inbound::SessionPtr& session) { OnClientGone(session); };
+  events.on_gone = [this](const Inbound::SessionPtr& session) { OnClientClosed(session); };
   events.ready = [this] { return Ready(); };
   inbound_ = std::make_unique<Inbound>(io_, Listener(), DescriptorShares(config_).clients, budget_, events);
   if (config_.admin) {
-    Admin::Events calls;
-    calls.ready = events.ready;
+    Admin::Events admin_events;
+    admin_events.ready = events.ready;
     operator_orders_ = std::make_unique<OperatorOrders>(io_, config_.state_directory, config_.wire,
                                                         *balancer_, upstream_, [this] { return Now(); });
-    calls.metrics = [this] {
+    admin_events.metrics = [this] {
       return metrics_.Text(balancer_->membership(Now())) + operator_orders_->ZoneMetrics();
     };
-    calls.disable = [this](const std::string& server) { return operator_orders_->DisableServer(server); };
-    calls.enable = [this](const std::string& server) { return operator_orders_->EnableServer(server); };
-    calls.order_zone = [this](const std::string& zone, bool drains, Micros over) {
+    admin_events.disable = [this](const std::string& server) {
+      return operator_orders_->DisableServer(server);
+    };
+    admin_events.enable = [this](const std::string& server) {
+      return operator_orders_->EnableServer(server);
+    };
+    admin_events.order_zone = [this](const std::string& zone, bool drains, Micros over) {
       return operator_orders_->OrderZone(zone, drains, over);
     };
-    admin_ = std::make_unique<Admin>(io_, *config_.admin, std::move(calls));
+    admin_ = std::make_unique<Admin>(io_, *config_.admin, std::move(admin_events));
     operator_orders_->Poll();
   }
-  const bool awaits = Succeeds();
-  OnList(ListUpdate::Kind::kStale, Known(), awaits);
+  const bool awaits_list = IsSuccessor();
+  OnList(ListUpdate::Kind::kStale, InitialList(), awaits_list);
   if (!config_.wire.settings.must_subscribe) discovery_.Watch(generation_);
-  if (!awaits) return TakeClients();
-  start_timer_.expires_after(std::chrono::microseconds(kMostAwait));
+  if (!awaits_list) return StartAccepting();
+  start_timer_.expires_after(std::chrono::microseconds(kMaxListWait));
   start_timer_.async_wait([this](ErrorCode error) {
-    if (!error) TakeClients();
+    if (!error) StartAccepting();
   });
 }
 
@@ -170,23 +176,23 @@
   return Tcp::acceptor(io_, Tcp::v4(), *config_.passed_socket);
 }
 
-// Whether another process has served on the passed socket and may still do so.
-bool Sidecar::Succeeds() const {
+// True if another process has served on the passed socket and may still be running.
+bool Sidecar::IsSuccessor() const {
   std::error_code ignored;
   return config_.passed_socket && !config_.state_directory.empty() &&
          std::filesystem::exists(std::filesystem::path(config_.state_directory) / stored_names::kServed,
                                  ignored);
 }
 
-void Sidecar::TakeClients() {
-  if (drain_.begun() || std::exchange(taking_, true)) return;
+void Sidecar::StartAccepting() {
+  if (drain_.begun() || std::exchange(accepting_, true)) return;
   start_timer_.cancel();
   inbound_->Accept();
   if (config_.passed_socket && !config_.state_directory.empty())
     std::ofstream(std::filesystem::path(config_.state_directory) / stored_names::kServed);
 }
 
-bool Sidecar::Ready() const { return taking_ && !drain_.begun() && upstream_.any_server(); }
+bool Sidecar::Ready() const { return accepting_ && !drain_.begun() && upstream_.has_servers(); }
 
 // ---- The clock and the list ----
 
@@ -195,34 +201,36 @@
   return clock_offset_ + std::chrono::duration_cast<std::chrono::microseconds>(steady).count();
 }
 
-// What the watch holds goes before what is decided. A process that stood still, or whose loop is late, finds
-// clients' requests in front of the list that came after them, and would send one of them to a server that
-// has drained long since. Not called from the module's actions, as the module hears of the list in here.
-Micros Sidecar::NowToDecide() {
-  TakeNews();
+// The current time, after pending list updates have been applied. A process that was stopped, or whose event
+// loop is late, handles clients' requests before a list that arrived after them, and would send one of them
+// to a server that has drained long ago. Must not be called from the module's actions, as it may pass a list
+// to the module.
+Micros Sidecar::NowForDecision() {
+  PollDiscovery();
   return Now();
 }
 
-void Sidecar::TakeNews() {
+void Sidecar::PollDiscovery() {
   const Micros now = Now();
-  if (now - news_taken_ < config_.wire.settings.drain_grace / kNewsShare) return;
-  news_taken_ = now;
+  if (now - last_discovery_poll_ < config_.wire.settings.drain_grace / kPollsPerDrainGrace) return;
+  last_discovery_poll_ = now;
   discovery_.ReadPending();
 }
 
-std::function<bool(const nlohmann::json&, std::string&)> Sidecar::TakesLists() {
+// Checks and stores each list received from discovery; empty if lists are not stored.
+std::function<bool(const nlohmann::json&, std::string&)> Sidecar::ListValidator() {
   if (last_list_ == nullptr) return {};
   return [this](const nlohmann::json& list, std::string& reason) { return last_list_->Update(list, reason); };
 }
 
-// The list to begin with: the configuration's, or the copy in TMPDIR where that is later.
-EndpointList Sidecar::Known() {
+// The initial list: the one of the configuration, or the copy in TMPDIR if that is newer.
+EndpointList Sidecar::InitialList() {
   if (last_list_ == nullptr) return config_.initial_list;
   const auto kept = last_list_->Load(config_.initial_list_json);
   return kept ? *kept : config_.initial_list;
 }
 
-void Sidecar::OnList(ListUpdate::Kind kind, const EndpointList& list, bool awaits) {
+void Sidecar::OnList(ListUpdate::Kind kind, const EndpointList& list, bool awaits_list) {
   generation_ = list.generation;
   EndpointList applied = list;
   applied.complete = kind != ListUpdate::Kind::kDelta;
@@ -230,16 +238,16 @@
   std::vector<ServerInfo> servers;
   servers.reserve(list.endpoints.size());
   for (const Endpoint& endpoint : list.endpoints) servers.push_back(endpoint.info);
-  balancer_->OnServers(Now(), {kind, list.generation, servers, awaits});
-  if (kind != ListUpdate::Kind::kStale) TakeClients();
+  balancer_->OnServers(Now(), {kind, list.generation, servers, awaits_list});
+  if (kind != ListUpdate::Kind::kStale) StartAccepting();
 }
 
 void Sidecar::OnDiscoveryFailed() {
   if (config_.wire.settings.must_subscribe)
-    balancer_->OnServers(Now(), {ListUpdate::Kind::kFailed, generation_, {}, !taking_});
+    balancer_->OnServers(Now(), {ListUpdate::Kind::kFailed, generation_, {}, !accepting_});
 }
 
-// ---- A request's life ----
+// ---- Requests ----
 
 void Sidecar::OnRequest(const Inbound::SessionPtr& session, RequestHead head, const BodyPtr& body,
                         Micros waited) {
@@ -258,8 +266,8 @@
       return Inbound::Respond(session, Plain(http::status::bad_request, "Req-Deadline\n"));
     budget = static_cast<Micros>(std::min(*seconds, 86'400.0) * static_cast<double>(kSecond));
   }
-  const Micros now = NowToDecide();
-  budget -= std::min(kAnswerMargin, static_cast<Micros>(kMostMarginShare * static_cast<double>(budget)));
+  const Micros now = NowForDecision();
+  budget -= std::min(kResponseMargin, static_cast<Micros>(kMaxMarginShare * static_cast<double>(budget)));
   budget = std::max<Micros>(budget - waited, 0);
   if (drain_.begun()) budget = std::min(budget, drain_.Left());
 
@@ -272,36 +280,36 @@
   call.budget = budget;
   call.deadline = now + (body->ended() ? budget : kNoDeadline);
   call.timer = std::make_unique<asio::steady_timer>(io_);
-  Watch(id, call);
+  ScheduleTimer(id, call);
   if (!body->ended()) FollowBody(id, *body);
 
-  violetwing::balancer::Request in;
-  in.id = id;
-  in.request_class = request_class;
-  in.tenant = TenantIndex(View(call.head[kTenantHeader]));
-  in.budget = budget;
-  in.body_incomplete = !body->ended();
-  in.is_retry = call.head[kRepeatHeader] == "1";
-  in.write = call.head.method() != http::verb::get;
+  violetwing::balancer::Request request;
+  request.id = id;
+  request.request_class = request_class;
+  request.tenant = TenantIndex(View(call.head[kTenantHeader]));
+  request.budget = budget;
+  request.body_incomplete = !body->ended();
+  request.is_retry = call.head[kRepeatHeader] == "1";
+  request.write = call.head.method() != http::verb::get;
   if (const auto cost = ParseNumber(View(call.head[kCostHeader])); cost && *cost >= 0 && *cost < 1e12)
-    in.cost = static_cast<Micros>(*cost);
+    request.cost = static_cast<Micros>(*cost);
   const std::string key(KeyOf(View(call.head.target())));
-  in.key = key;
-  balancer_->OnRequest(now, in);
-  EraseIfOver(id);
+  request.key = key;
+  balancer_->OnRequest(now, request);
+  EraseIfFinished(id);
 }
 
-// What a body tells may come in the middle of an action of the module's, which must not be called then.
+// The callbacks post their work, as they may run during an action of the module, which must not be reentered.
 void Sidecar::FollowBody(const std::string& id, Body& body) {
   body.on_dropped = [this, id] {
-    asio::post(io_, [this, id] { balancer_->OnRequestBodyDiscarded(NowToDecide(), id); });
+    asio::post(io_, [this, id] { balancer_->OnRequestBodyDiscarded(NowForDecision(), id); });
   };
-  body.on_end = [this, id] { asio::post(io_, [this, id] { OnRequestEnded(id); }); };
+  body.on_end = [this, id] { asio::post(io_, [this, id] { OnBodyReceived(id); }); };
 }
 
-// The last byte of a long request has come: its time begins.
-void Sidecar::OnRequestEnded(const std::string& id) {
-  const Micros now = NowToDecide();
+// The last byte of a long request has been received: its time limit starts now.
+void Sidecar::OnBodyReceived(const std::string& id) {
+  const Micros now = NowForDecision();
   const auto it = calls_.find(id);
   if (it == calls_.end() || it->second.session == nullptr) return;
   Call& call = it->second;
@@ -311,70 +319,73 @@
     attempt.sent = now;
     attempt.expires = call.deadline;
   }
-  Watch(id, call);
+  ScheduleTimer(id, call);
   balancer_->OnRequestBodyComplete(now, id, call.deadline - now);
 }
 
-void Sidecar::OnClientGone(const Inbound::SessionPtr& session) {
-  TakeNews();
+void Sidecar::OnClientClosed(const Inbound::SessionPtr& session) {
+  PollDiscovery();
   const auto it = std::find_if(calls_.begin(), calls_.end(),
                                [&](const auto& entry) { return entry.second.session == session; });
   if (it == calls_.end()) return;
   const std::string id = it->first;
   it->second.session = nullptr;
   metrics_.ClientDisconnected();
-  // Where attempts may not be called off they go on; but one that still waits for its connection never began.
+  // Attempts continue where the settings do not allow cancellation; but one that is still connecting has sent
+  // nothing and is canceled in any case.
   for (std::size_t i = 0; i < it->second.attempts.size(); ++i)
-    if (it->second.attempts[i].out && upstream_.Withdraw(it->second.attempts[i].upstream))
-      asio::post(io_, [this, id, number = static_cast<int>(i)] { Conclude(id, number, Result::kNeverSent); });
+    if (it->second.attempts[i].in_flight && upstream_.CancelIfUnsent(it->second.attempts[i].upstream))
+      asio::post(io_,
+                 [this, id, number = static_cast<int>(i)] { ReportOutcome(id, number, Result::kNeverSent); });
   balancer_->OnClientDisconnected(Now(), id);
-  EraseIfOver(id);
+  EraseIfFinished(id);
 }
 
-void Sidecar::OnAnswerBegun(const std::string& id, int attempt, const ResponseHead& head,
-                            const BodyPtr& body) {
+void Sidecar::OnStreamingStarted(const std::string& id, int attempt, const ResponseHead& head,
+                                 const BodyPtr& body) {
   const auto it = calls_.find(id);
   if (it == calls_.end() || it->second.session == nullptr) return body->Abandon();
   const Micros now = Now();
-  Attempt& begun = it->second.attempts[static_cast<std::size_t>(attempt)];
-  begun.begun = now;
-  begun.expires = now + kNoDeadline;
-  Answer(it->second, head, body);
+  Attempt& started = it->second.attempts[static_cast<std::size_t>(attempt)];
+  started.response_started = now;
+  started.expires = now + kNoDeadline;
+  SendResponse(it->second, head, body);
   balancer_->OnResponseStarted(now, id, attempt);
 }
 
-void Sidecar::OnAnswer(const std::string& id, int attempt, UpstreamAnswer answer) {
+void Sidecar::OnUpstreamResponse(const std::string& id, int attempt, UpstreamResponse response) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
-  if (answer.body != nullptr && it->second.session != nullptr)
-    Answer(it->second, std::move(answer.head), std::move(answer.body));
-  Conclude(id, attempt, answer.result);
+  if (response.body != nullptr && it->second.session != nullptr)
+    SendResponse(it->second, std::move(response.head), std::move(response.body));
+  ReportOutcome(id, attempt, response.result);
 }
 
-// Tells the module, once, what became of an attempt.
-void Sidecar::Conclude(const std::string& id, int attempt, Result result) {
-  const Micros now = NowToDecide();
+// Reports the result of an attempt to the module, exactly once.
+void Sidecar::ReportOutcome(const std::string& id, int attempt, Result result) {
+  const Micros now = NowForDecision();
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
   Attempt& ended = it->second.attempts[static_cast<std::size_t>(attempt)];
-  if (!std::exchange(ended.out, false)) return;
+  if (!std::exchange(ended.in_flight, false)) return;
   Outcome outcome;
   outcome.request = id;
   outcome.attempt = attempt;
   outcome.result = result;
-  outcome.elapsed = std::max<Micros>((ended.begun > 0 ? ended.begun : now) - ended.sent, 0);
+  outcome.elapsed =
+      std::max<Micros>((ended.response_started > 0 ? ended.response_started : now) - ended.sent, 0);
   outcome.settled = it->second.session == nullptr;
   balancer_->OnOutcome(now, outcome);
-  EraseIfOver(id);
+  EraseIfFinished(id);
 }
 
-void Sidecar::Answer(Call& call, HttpResponse response) {
+void Sidecar::SendResponse(Call& call, HttpResponse response) {
   ResponseHead head;
   head.base() = std::move(response.base());
-  Answer(call, std::move(head), Body::Whole(std::move(response.body())));
+  SendResponse(call, std::move(head), Body::Whole(std::move(response.body())));
 }
 
-void Sidecar::Answer(Call& call, ResponseHead head, BodyPtr body) {
+void Sidecar::SendResponse(Call& call, ResponseHead head, BodyPtr body) {
   auto end = Metrics::RequestOutcome::kFailed;
   if (head.result() == http::status::ok) end = Metrics::RequestOutcome::kCompleted;
   if (head.result() == http::status::service_unavailable) end = Metrics::RequestOutcome::kRejected;
@@ -384,41 +395,41 @@
                    });
 }
 
-// Sets the call's timer to what is due next: the end of an attempt, or the answer itself.
-void Sidecar::Watch(const std::string& id, Call& call) {
+// Sets the timer of the call to the earliest of its deadline and those of its attempts in flight.
+void Sidecar::ScheduleTimer(const std::string& id, Call& call) {
   Micros due = call.deadline;
   for (const Attempt& attempt : call.attempts)
-    if (attempt.out) due = std::min(due, attempt.expires);
+    if (attempt.in_flight) due = std::min(due, attempt.expires);
   call.timer->expires_after(std::chrono::microseconds(std::max<Micros>(due - Now(), 0)));
   call.timer->async_wait([this, id](ErrorCode error) {
-    if (!error) OnDue(id);
+    if (!error) OnCallTimer(id);
   });
 }
 
-void Sidecar::OnDue(const std::string& id) {
-  const Micros now = NowToDecide();
+void Sidecar::OnCallTimer(const std::string& id) {
+  const Micros now = NowForDecision();
   auto it = calls_.find(id);
   if (it == calls_.end()) return;
   for (std::size_t i = 0; i < it->second.attempts.size(); ++i) {
     const Attempt& attempt = it->second.attempts[i];
-    if (!attempt.out || now < attempt.expires) continue;
-    upstream_.GiveUp(attempt.upstream);
-    Conclude(id, static_cast<int>(i), Result::kTimeout);
+    if (!attempt.in_flight || now < attempt.expires) continue;
+    upstream_.Cancel(attempt.upstream);
+    ReportOutcome(id, static_cast<int>(i), Result::kTimeout);
     it = calls_.find(id);
     if (it == calls_.end()) return;
   }
   if (now >= it->second.deadline && it->second.session != nullptr) {
-    // The module ends requests before this. Guards against a client that gets no answer should it not.
-    Answer(it->second, Plain(http::status::gateway_timeout, "out of time\n"));
+    // The module ends requests earlier. This ensures that the client gets a response even if it does not.
+    SendResponse(it->second, Plain(http::status::gateway_timeout, "out of time\n"));
     balancer_->OnClientDisconnected(now, id);
-    return EraseIfOver(id);
+    return EraseIfFinished(id);
   }
-  if (now < it->second.deadline) Watch(id, it->second);
+  if (now < it->second.deadline) ScheduleTimer(id, it->second);
 }
 
-void Sidecar::EraseIfOver(const std::string& id) {
+void Sidecar::EraseIfFinished(const std::string& id) {
   const auto it = calls_.find(id);
-  if (it == calls_.end() || it->second.session != nullptr || it->second.AnyOut()) return;
+  if (it == calls_.end() || it->second.session != nullptr || it->second.HasAttemptInFlight()) return;
   calls_.erase(it);
   if (calls_.empty()) drain_.OnSettled();
 }
@@ -448,7 +459,7 @@
   return it == tenants.end() ? -1 : static_cast<int>(it - tenants.begin());
 }
 
-// ---- The module's actions; none of them may call it back ----
+// ---- Actions of the module; none of them may call it back ----
 
 void Sidecar::Send(std::string_view request, const std::string& server, Micros timeout, Micros begin_within) {
   const std::string id(request);
@@ -460,22 +471,24 @@
   Attempt attempt;
   attempt.sent = now;
   attempt.expires = timeout > 0 ? std::min(call.deadline, now + timeout) : call.deadline;
-  // A body that is gone in part cannot be sent once more; the module has been told so.
+  // A body of which a part has been discarded cannot be sent again; the module has been informed.
   if (call.session == nullptr || now >= attempt.expires || !call.body->complete()) {
     call.attempts.push_back(attempt);
-    asio::post(io_, [this, id, number] { Conclude(id, number, Result::kNeverSent); });
+    asio::post(io_, [this, id, number] { ReportOutcome(id, number, Result::kNeverSent); });
     return;
   }
   Upstream::Events events;
-  events.done = [this, id, number](UpstreamAnswer answer) { OnAnswer(id, number, std::move(answer)); };
-  events.begun = [this, id, number](const ResponseHead& head, const BodyPtr& body) {
-    OnAnswerBegun(id, number, head, body);
+  events.done = [this, id, number](UpstreamResponse response) {
+    OnUpstreamResponse(id, number, std::move(response));
+  };
+  events.response_started = [this, id, number](const ResponseHead& head, const BodyPtr& body) {
+    OnStreamingStarted(id, number, head, body);
   };
   const Micros left = call.body->ended() ? attempt.expires - now : call.budget;
   attempt.upstream =
       upstream_.Send(server, {Forwarded(call), call.body, left, begin_within}, std::move(events));
   call.attempts.push_back(attempt);
-  if (attempt.expires < call.deadline) Watch(id, call);
+  if (attempt.expires < call.deadline) ScheduleTimer(id, call);
 }
 
 void Sidecar::Cancel(std::string_view request, int attempt) {
@@ -483,8 +496,8 @@
   const auto it = calls_.find(id);
   if (it == calls_.end() || attempt < 0 || static_cast<std::size_t>(attempt) >= it->second.attempts.size())
     return;
-  upstream_.GiveUp(it->second.attempts[static_cast<std::size_t>(attempt)].upstream);
-  asio::post(io_, [this, id, attempt] { Conclude(id, attempt, Result::kCancelled); });
+  upstream_.Cancel(it->second.attempts[static_cast<std::size_t>(attempt)].upstream);
+  asio::post(io_, [this, id, attempt] { ReportOutcome(id, attempt, Result::kCancelled); });
 }
 
 void Sidecar::Reject(std::string_view request, Micros retry_after) {
@@ -492,28 +505,28 @@
   if (it == calls_.end() || it->second.session == nullptr) return;
   HttpResponse response = Plain(http::status::service_unavailable, "refused\n");
   if (retry_after > 0) response.set(http::field::retry_after, InSeconds(retry_after));
-  Answer(it->second, std::move(response));
-  EraseLater(it->first);
+  SendResponse(it->second, std::move(response));
+  PostErase(it->first);
 }
 
 void Sidecar::Fail(std::string_view request) {
   const auto it = calls_.find(std::string(request));
   if (it == calls_.end() || it->second.session == nullptr) return;
-  Answer(it->second, Plain(http::status::bad_gateway, "failed\n"));
-  EraseLater(it->first);
+  SendResponse(it->second, Plain(http::status::bad_gateway, "failed\n"));
+  PostErase(it->first);
 }
 
-// The module may give up on a request from a timer, or on another than the one it was told of: nothing else
-// would come for such a request, and it would be held for ever.
-void Sidecar::EraseLater(const std::string& id) {
-  asio::post(io_, [this, id] { EraseIfOver(id); });
+// The module may reject or fail a request from a timer, or a request other than the one just reported to it.
+// No further event would follow for such a request, and it would never be erased.
+void Sidecar::PostErase(const std::string& id) {
+  asio::post(io_, [this, id] { EraseIfFinished(id); });
 }
 
 void Sidecar::SetTimer(Micros delay, std::uint64_t token) {
   const auto timer =
       std::make_shared<asio::steady_timer>(io_, std::chrono::microseconds(std::max<Micros>(delay, 0)));
   timer->async_wait([this, timer, token](ErrorCode error) {
-    if (!error) balancer_->OnTimer(NowToDecide(), token);
+    if (!error) balancer_->OnTimer(NowForDecision(), token);
   });
 }
 
@@ -528,22 +541,23 @@
 
 void Sidecar::Reload(const Config& config) { discovery_.SwitchAddresses(config.discovery, generation_); }
 
-// ---- The end ----
+// ---- Shutdown ----
 
 void Sidecar::Drain(std::function<void()> finished) {
   sidecar::Drain::Steps steps;
   steps.stop_accepting = [this] { inbound_->StopAccepting(); };
   steps.leave_queue = [this] { inbound_->LeaveQueue(); };
   steps.close_idle = [this] { inbound_->CloseIdle(); };
-  steps.hurry = [this] { HurryCalls(); };
+  steps.hurry = [this] { ExpireCalls(); };
   steps.holds_requests = [this] { return !calls_.empty(); };
   steps.holds_connections = [this] { return inbound_->holds_connections(); };
   inbound_->CloseAfterAnswers();
   drain_.Begin(std::move(steps), std::move(finished));
 }
 
-// Ends what would outlast the time before the kill: an answer now, if only a failure, is better than none.
-void Sidecar::HurryCalls() {
+// Expires all pending requests shortly before the process is killed: a response, even a failure, is better
+// than none.
+void Sidecar::ExpireCalls() {
   const Micros now = Now();
   std::vector<std::string> ids;
   for (auto& [id, call] : calls_) {
@@ -551,7 +565,7 @@
     for (Attempt& attempt : call.attempts) attempt.expires = std::min(attempt.expires, now);
     ids.push_back(id);
   }
-  for (const std::string& id : ids) OnDue(id);
+  for (const std::string& id : ids) OnCallTimer(id);
 }
 
 }  // namespace violetwing::sidecar
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -1,5 +1,5 @@
-// One sidecar: brings the application, the servers and discovery together around the decision module. Every
-// decision is the module's; this holds the requests, the timers and the clock.
+// The sidecar: connects the application, the servers and discovery to the decision module (Balancer). The
+// module makes every decision; this class owns the pending requests, the timers and the clock.
 #ifndef VIOLETWING_SIDECAR_SIDECAR_HPP_
 #define VIOLETWING_SIDECAR_SIDECAR_HPP_
 
@@ -24,19 +24,20 @@
 
 namespace violetwing::sidecar {
 
+/// One sidecar. Single-threaded: all calls and callbacks run on the loop of `io`.
 class Sidecar : private ActionSink {
  public:
-  // Throws ConfigError if the settings make no sense; opens no socket.
+  /// Throws ConfigError if the settings are invalid. Opens no socket.
   Sidecar(asio::io_context& io, Config config);
   ~Sidecar() override;
   Sidecar(const Sidecar&) = delete;
   Sidecar& operator=(const Sidecar&) = delete;
 
-  // Listens and follows discovery. Throws boost::system::system_error if an address cannot be had.
+  /// Listens and watches discovery. Throws boost::system::system_error if it cannot listen on an address.
   void Start();
-  // Goes over to the discovery of a new configuration; the rest of it holds from the next start on.
+  /// Switches to the discovery addresses of a new configuration. Its other settings need a restart.
   void Reload(const Config& config);
-  // Takes what still comes for a short while, finishes all that it holds, then calls `finished`.
+  /// Accepts connections for a short time longer, finishes all pending requests, then calls `finished`.
   void Drain(std::function<void()> finished);
 
   Tcp::endpoint address() const { return inbound_->address(); }
@@ -49,25 +50,25 @@
     Upstream::AttemptId upstream = 0;
     Micros sent = 0;
     Micros expires = 0;
-    Micros begun = 0;  // when its answer began to be passed on; 0 = not
-    bool out = true;
+    Micros response_started = 0;  // when streaming of its response started; 0 = it has not
+    bool in_flight = true;
   };
-  // A request, from its arrival until it has its answer and its last attempt is resolved.
+  // A request, from its arrival until it has been answered and its last attempt has a result.
   struct Call {
     RequestHead head;
     BodyPtr body;
     int request_class = -1;
-    Inbound::SessionPtr session;  // null once it has been answered or its client has gone
-    Micros budget = 0;            // from its last byte on
-    Micros deadline = 0;          // the final answer is owed before
+    Inbound::SessionPtr session;  // null once it has been answered or its client has disconnected
+    Micros budget = 0;            // time limit, counted from its last byte
+    Micros deadline = 0;          // when the final response is due
     std::vector<Attempt> attempts;
     std::unique_ptr<asio::steady_timer> timer;
 
-    bool AnyOut() const;
+    bool HasAttemptInFlight() const;
   };
   using Calls = std::unordered_map<std::string, Call>;
 
-  // The module's actions.
+  // ActionSink: the actions of the decision module.
   void Send(std::string_view request, const std::string& server, Micros timeout,
             Micros begin_within) override;
   void Cancel(std::string_view request, int attempt) override;
@@ -78,51 +79,51 @@
   void Log(std::string_view text) override;
 
   Micros Now() const;
-  Micros NowToDecide();
-  void TakeNews();
+  Micros NowForDecision();
+  void PollDiscovery();
   Tcp::acceptor Listener();
-  bool Succeeds() const;
-  void TakeClients();
+  bool IsSuccessor() const;
+  void StartAccepting();
   bool Ready() const;
-  std::function<bool(const nlohmann::json&, std::string&)> TakesLists();
-  EndpointList Known();
-  void OnList(ListUpdate::Kind kind, const EndpointList& list, bool awaits = false);
+  std::function<bool(const nlohmann::json&, std::string&)> ListValidator();
+  EndpointList InitialList();
+  void OnList(ListUpdate::Kind kind, const EndpointList& list, bool awaits_list = false);
   void OnDiscoveryFailed();
   void OnRequest(const Inbound::SessionPtr& session, RequestHead head, const BodyPtr& body, Micros waited);
   void FollowBody(const std::string& id, Body& body);
-  void OnRequestEnded(const std::string& id);
-  void OnClientGone(const Inbound::SessionPtr& session);
-  void OnAnswerBegun(const std::string& id, int attempt, const ResponseHead& head, const BodyPtr& body);
-  void OnAnswer(const std::string& id, int attempt, UpstreamAnswer answer);
-  void Conclude(const std::string& id, int attempt, Result result);
-  void Answer(Call& call, ResponseHead head, BodyPtr body);
-  void Answer(Call& call, HttpResponse response);
-  void Watch(const std::string& id, Call& call);
-  void OnDue(const std::string& id);
-  void EraseIfOver(const std::string& id);
-  void EraseLater(const std::string& id);
+  void OnBodyReceived(const std::string& id);
+  void OnClientClosed(const Inbound::SessionPtr& session);
+  void OnStreamingStarted(const std::string& id, int attempt, const ResponseHead& head, const BodyPtr& body);
+  void OnUpstreamResponse(const std::string& id, int attempt, UpstreamResponse response);
+  void ReportOutcome(const std::string& id, int attempt, Result result);
+  void SendResponse(Call& call, ResponseHead head, BodyPtr body);
+  void SendResponse(Call& call, HttpResponse response);
+  void ScheduleTimer(const std::string& id, Call& call);
+  void OnCallTimer(const std::string& id);
+  void EraseIfFinished(const std::string& id);
+  void PostErase(const std::string& id);
   static RequestHead Forwarded(const Call& call);
   int ClassIndex(std::string_view name) const;
   int TenantIndex(std::string_view name) const;
-  void HurryCalls();
+  void ExpireCalls();
 
   asio::io_context& io_;
   const Config config_;
   const Micros clock_offset_;
-  const std::shared_ptr<Budget> budget_;  // of all bodies
+  const std::shared_ptr<Budget> budget_;  // memory for all bodies
   std::unique_ptr<Balancer> balancer_;
   Metrics metrics_;
-  std::unique_ptr<LastList> last_list_;  // null where none is kept
+  std::unique_ptr<LastList> last_list_;  // null if the list is not stored
   Upstream upstream_;
   Discovery discovery_;
   std::unique_ptr<Inbound> inbound_;
-  std::unique_ptr<OperatorOrders> operator_orders_;  // null without a second address
-  std::unique_ptr<Admin> admin_;                     // null without a second address
+  std::unique_ptr<OperatorOrders> operator_orders_;  // null without an admin address
+  std::unique_ptr<Admin> admin_;                     // null without an admin address
   Calls calls_;
   std::int64_t generation_ = 0;
-  Micros news_taken_ = 0;           // when the watch was last read before a decision
-  bool taking_ = false;             // clients
-  asio::steady_timer start_timer_;  // while it waits for a list before it takes them
+  Micros last_discovery_poll_ = 0;  // when the watch was last polled ahead of a decision
+  bool accepting_ = false;          // clients' connections
+  asio::steady_timer start_timer_;  // limits the wait for a list before that
   sidecar::Drain drain_;
 };
 
--- a/src/sidecar/upstream.cpp
+++ b/src/sidecar/upstream.cpp
@@ -17,13 +17,13 @@
 
 using Clock = std::chrono::steady_clock;
 
-// Sweeps in the time that an idle connection is kept: few, as each wakes the process.
-constexpr int kSweeps = 4;
+// Sweeps per idle timeout; few, as each one wakes up the process.
+constexpr int kSweepsPerIdleTimeout = 4;
 
-// How long an answer whose length is not told is held back before it is passed on as it comes.
-constexpr auto kMostHolding = std::chrono::milliseconds(150);
-// How long a server may pause in an answer that has begun.
-constexpr auto kMostSilence = std::chrono::seconds(6);
+// How long a response of unknown length is buffered before it is streamed.
+constexpr auto kMaxBufferingTime = std::chrono::milliseconds(150);
+// Maximum pause of a server within a response that is being streamed.
+constexpr auto kMaxResponsePause = std::chrono::seconds(6);
 
 using Response = http::response<PieceBody>;
 
@@ -33,7 +33,7 @@
   return status && response[kDeclinedHeader] == "1";
 }
 
-// A server's 503 without the header proves nothing: it may have run.
+// A 503 without Srv-Declined is an error, not a rejection: the request may have been executed.
 Result ResultOf(const Response& response) {
   if (response.result() == http::status::ok) return Result::kSuccess;
   return Declined(response) ? Result::kRejected : Result::kError;
@@ -44,10 +44,10 @@
 struct Upstream::Server {
   ServerInfo info;
   Tcp::endpoint address;
-  std::uint64_t life = 0;           // changes with all that makes older connections useless
-  std::vector<ConnectionPtr> idle;  // the most recently used last
+  std::uint64_t epoch = 0;          // incremented when existing connections become unusable
+  std::vector<ConnectionPtr> idle;  // ordered by last use, the most recent last
 
-  bool Up() const { return info.state == ServerInfo::State::kHealthy; }
+  bool IsHealthy() const { return info.state == ServerInfo::State::kHealthy; }
 };
 
 class Upstream::Connection : public std::enable_shared_from_this<Connection> {
@@ -57,14 +57,14 @@
     RequestHead head;
     BodyPtr body;
     Events events;
-    std::optional<Clock::time_point> begin_by;
-    std::optional<Clock::time_point> expires;  // its time runs already, and its server is told what is left
+    std::optional<Clock::time_point> write_deadline;
+    std::optional<Clock::time_point> deadline;  // set if the time spent on connecting counts
   };
 
   Connection(Upstream& pool, std::shared_ptr<Server> server)
       : pool_(pool),
         server_(std::move(server)),
-        life_(server_->life),
+        epoch_(server_->epoch),
         socket_(pool.io_),
         timer_(pool.io_),
         writer_(socket_) {}
@@ -73,11 +73,11 @@
     job_.emplace(std::move(job));
     ErrorCode error;
     socket_.open(server_->address.protocol(), error);
-    if (error) return HoldBack();
+    if (error) return PostNoDescriptor();
     socket_.set_option(Tcp::no_delay(true), error);
     if (pool_.limits_.dial_timeout > 0) {
-      // The time may run out in the very turn of the loop in which the attempt is given up.
-      ExpireAfter(std::chrono::microseconds(pool_.limits_.dial_timeout), [this] {
+      // The timer may expire in the same loop iteration in which the connection attempt ends.
+      StartTimer(std::chrono::microseconds(pool_.limits_.dial_timeout), [this] {
         if (dialing_) Finish(Result::kUnreachable, /*reuse=*/false);
       });
     }
@@ -88,98 +88,101 @@
 
   void Start(Job job) {
     job_.emplace(std::move(job));
-    // A read may have ended before this, with its handler still in the queue: that handler runs before this
-    // one.
-    earlier_ = true;
-    asio::post(pool_.io_, [self = shared_from_this()] { self->earlier_ = false; });
+    // A read may have completed already with its handler still queued. That handler runs before the one
+    // posted here, so that it finds the flag set.
+    read_predates_request_ = true;
+    asio::post(pool_.io_, [self = shared_from_this()] { self->read_predates_request_ = false; });
     Write();
   }
 
-  // Says nothing to the attempt's owner: for idle connections and attempts that are given up.
+  // Does not call `done`: for idle connections and canceled attempts.
   void Close() {
     if (closed_) return;
     Abandon();
     timer_.cancel();
-    pool_.Forget(*this);
+    pool_.OnClosed(*this);
   }
 
-  // Closes without a word to the pool, which is going: what is still to be called back finds it closed.
+  // Closes without notifying the pool, which is being destroyed. Handlers that are still queued find the
+  // connection closed.
   void Abandon() {
     closed_ = true;
     job_.reset();
     writer_.Stop();
-    DropAnswer();
+    BreakResponseBody();
     ErrorCode ignored;
     socket_.close(ignored);
   }
 
-  // Guards against writing to a connection whose end has come in but has not been handled: what is written
-  // there is reset, and may have run for all that one can know.
-  bool Usable() {
-    if (closed_ || !Current()) return false;
+  // Detects a close by the peer that has arrived but has not been handled. A request written to such a
+  // connection is reset, and whether it was executed cannot be known.
+  bool IsUsable() {
+    if (closed_ || !IsCurrent()) return false;
     char byte = 0;
     const ssize_t got = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
   }
 
-  // Nothing of the attempt has been written, so it cannot have run.
-  bool Dialing() const { return dialing_; }
-  bool Current() const { return server_->Up() && server_->life == life_; }
+  // True while nothing of the attempt has been written, so that it cannot have been executed.
+  bool IsDialing() const { return dialing_; }
+  bool IsCurrent() const { return server_->IsHealthy() && server_->epoch == epoch_; }
   Server& server() { return *server_; }
   Clock::time_point idle_since;
 
  private:
-  // There is no descriptor for it: the want is ours and says nothing of the server.
-  void HoldBack() {
+  // No file descriptor is available. This is a local shortage and no sign of a faulty server.
+  void PostNoDescriptor() {
     asio::post(pool_.io_, [self = shared_from_this()] {
       if (!self->closed_) self->Finish(Result::kNoDescriptor, /*reuse=*/false);
     });
   }
 
-  template <typename Duration, typename Then>
-  void ExpireAfter(Duration time, Then then) {
+  template <typename Duration, typename Handler>
+  void StartTimer(Duration time, Handler on_expiry) {
     timer_.expires_after(time);
-    timer_.async_wait([self = shared_from_this(), then, attempt = job_->id](ErrorCode stopped) {
-      // The wait may have ended in the very turn of the loop in which its attempt did, and another has begun.
+    timer_.async_wait([self = shared_from_this(), on_expiry, attempt = job_->id](ErrorCode stopped) {
+      // The timer may have expired in the same loop iteration in which its attempt ended and the next one
+      // started on this connection.
       const bool same = !self->closed_ && self->job_ && self->job_->id == attempt;
-      if (!stopped && same && self->timer_.expiry() <= Clock::now()) then();
+      if (!stopped && same && self->timer_.expiry() <= Clock::now()) on_expiry();
     });
   }
 
   void OnDialed(ErrorCode error) {
-    if (pool_.hooks_.before_look) pool_.hooks_.before_look();
+    if (pool_.hooks_.before_server_check) pool_.hooks_.before_server_check();
     if (closed_) return;
     dialing_ = false;
     timer_.cancel();
-    // A look at the list after the wait: guards against sending to a server that has meanwhile been told to
-    // drain, is gone, or has restarted and is cold. Nothing is written, so it never ran.
-    if (error || !Current()) return Finish(Result::kUnreachable, /*reuse=*/false);
-    if (job_->begin_by && Clock::now() >= *job_->begin_by) return Finish(Result::kNeverSent, /*reuse=*/false);
-    if (job_->expires) TellWhatIsLeft();
+    // The server is checked again: while the connection was being established it may have started to drain,
+    // been removed, or restarted and be cold. Nothing has been written, so the request was not executed.
+    if (error || !IsCurrent()) return Finish(Result::kUnreachable, /*reuse=*/false);
+    if (job_->write_deadline && Clock::now() >= *job_->write_deadline)
+      return Finish(Result::kNeverSent, /*reuse=*/false);
+    if (job_->deadline) UpdateDeadlineHeader();
     Read();
     Write();
   }
 
-  // The dial has taken a part of what there was when the attempt was decided.
-  void TellWhatIsLeft() {
-    const auto left = std::chrono::duration_cast<std::chrono::microseconds>(*job_->expires - Clock::now());
+  // Connecting has used up a part of the time that was left when the attempt was sent.
+  void UpdateDeadlineHeader() {
+    const auto left = std::chrono::duration_cast<std::chrono::microseconds>(*job_->deadline - Clock::now());
     job_->head.set(kDeadlineHeader, InSeconds(std::max<Micros>(left.count(), 0)));
   }
 
   void Write() {
-    RenewParser();
-    head_only_ = job_->head.method() == http::verb::head;
-    parser_->skip(head_only_);
+    ResetParser();
+    head_request_ = job_->head.method() == http::verb::head;
+    parser_->skip(head_request_);
     writing_ = true;
-    whole_ = false;
+    fully_written_ = false;
     RequestHead& head = job_->head;
     Body& body = *job_->body;
     if (body.ended()) body.length = body.size();
     const bool chunked = !body.length;
     if (chunked) head.chunked(true);
-    // As is usual, a method without a body does not announce that it has none.
-    const bool carries = head.method() != http::verb::get && head.method() != http::verb::head;
-    if (body.length && (*body.length > 0 || carries)) head.content_length(*body.length);
+    // GET and HEAD requests without a body carry no Content-Length, as is usual.
+    const bool may_have_body = head.method() != http::verb::get && head.method() != http::verb::head;
+    if (body.length && (*body.length > 0 || may_have_body)) head.content_length(*body.length);
     writer_.Start(shared_from_this(), Text(head), job_->body, chunked,
                   [self = shared_from_this()](ErrorCode error) { self->OnWritten(error); });
   }
@@ -187,24 +190,24 @@
   void OnWritten(ErrorCode error) {
     writing_ = false;
     if (closed_ || !job_) return;
-    whole_ = !error;
-    // An unfinished request is one that no server begins. That its client stopped sending is no fault of the
-    // server's.
+    fully_written_ = !error;
+    // A server does not execute an incomplete request. If the client stopped sending the body, the server is
+    // not at fault.
     if (error)
       return Finish(job_->body->broken() ? Result::kCancelled : Result::kUnreachable, /*reuse=*/false);
-    if (pool_.hooks_.written) pool_.hooks_.written();
-    if (broken_) Finish(Result::kReset, /*reuse=*/false);
+    if (pool_.hooks_.request_written) pool_.hooks_.request_written();
+    if (closed_by_peer_) Finish(Result::kReset, /*reuse=*/false);
   }
 
-  // Stays posted while the connection lives, so that a peer's close is seen when it comes. Stops only when an
-  // answer waits for room.
+  // A read is pending as long as the connection is open, so that a close by the peer is noticed at once.
+  // Reading pauses only while the response body has no room.
   void Read() {
     if (reading_ || closed_) return;
-    if (answer_ != nullptr && !answer_->HasRoom()) {
-      if (begun_) timer_.cancel();  // the server is not to blame
+    if (response_body_ != nullptr && !response_body_->HasRoom()) {
+      if (streaming_) timer_.cancel();  // the reader is slow, not the server
       return;
     }
-    if (begun_) ExpectMore();
+    if (streaming_) StartPauseTimer();
     reading_ = true;
     socket_.async_read_some(buffer_.prepare(kReadSize),
                             [self = shared_from_this()](ErrorCode error, std::size_t n) {
@@ -213,108 +216,110 @@
                             });
   }
 
-  void ExpectMore() {
-    ExpireAfter(kMostSilence, [this] { Finish(Result::kTimeout, /*reuse=*/false); });
+  void StartPauseTimer() {
+    StartTimer(kMaxResponsePause, [this] { Finish(Result::kTimeout, /*reuse=*/false); });
   }
 
   void OnRead(ErrorCode error, std::size_t n) {
     if (closed_) return;
-    if (error) return OnEnd(error);
+    if (error) return OnReadError(error);
     buffer_.commit(n);
-    if (!job_) return Close();  // nobody asked
-    // What came before the request was written is no answer to it, and what follows could be mistaken for
-    // one.
-    if (earlier_) return Finish(Result::kReset, /*reuse=*/false);
+    if (!job_) return Close();  // data without a request
+    // Data received before the request was written is not its response, and data that follows could be
+    // mistaken for one.
+    if (read_predates_request_) return Finish(Result::kReset, /*reuse=*/false);
     Advance();
   }
 
-  // Takes in what has been read, as far as there is room.
+  // Parses the received data as far as the response body has room.
   void Advance() {
-    const auto kept = shared_from_this();
+    const auto self = shared_from_this();
     if (!Parse()) return Finish(Result::kError, /*reuse=*/false);
     if (closed_ || !job_) return;
     if (parser_->is_done()) return Complete(/*peer_open=*/true);
     Read();
   }
 
-  // False if it is no HTTP, or what is no success is too long.
+  // Returns false if the data is not valid HTTP, a limit is exceeded, or the body of an unsuccessful response
+  // is too long.
   bool Parse() {
     while (buffer_.size() > 0 && !parser_->is_done()) {
-      if (answer_ != nullptr && !answer_->HasRoom()) return true;
+      if (response_body_ != nullptr && !response_body_->HasRoom()) return true;
       ErrorCode error;
       const bool had_head = parser_->is_header_done();
       const std::size_t used = parser_->put(buffer_.data(), error);
       buffer_.consume(used);
-      // A line that fills the buffer has no end.
+      // A line that fills the buffer is an error, as it can never be completed.
       if (error == http::error::need_more) return buffer_.size() + kReadSize <= buffer_.max_size();
       if (error) return false;
       if (!parser_->is_header_done()) continue;
-      if (parser_->get().result_int() < 200) {  // 1xx: more comes
-        Restart();
+      if (parser_->get().result_int() < 200) {  // 1xx: the final response follows
+        ExpectFinalResponse();
         continue;
       }
-      if (!had_head) TakeHead();
-      if (!TakePiece()) return false;
+      if (!had_head) OnResponseHead();
+      if (!OnBodyPiece()) return false;
       if (closed_ || !job_) return true;
     }
     return true;
   }
 
-  void Restart() {
+  void ExpectFinalResponse() {
     if (!parser_->is_done()) return;
-    RenewParser();
-    parser_->skip(head_only_);
+    ResetParser();
+    parser_->skip(head_request_);
   }
 
-  // Not eager: an eager parser forgets that the header announced too long a body when bytes of the body came
-  // along with it, and then takes in as much as the server sends.
-  void RenewParser() {
+  // The parser is not eager: an eager one forgets that Content-Length exceeds the limit if bytes of the body
+  // arrived together with the header, and then accepts as much as the server sends.
+  void ResetParser() {
     parser_.emplace();
     parser_->header_limit(kMostHeader);
     parser_->body_limit(kMostBody);
-    begun_ = false;
-    answer_ = nullptr;
-    passed_over_ = 0;
+    streaming_ = false;
+    response_body_ = nullptr;
+    discarded_bytes_ = 0;
   }
 
-  void TakeHead() {
+  void OnResponseHead() {
     if (ResultOf(parser_->get()) != Result::kSuccess) return;
-    answer_ = std::make_shared<Body>(pool_.budget_);
+    response_body_ = std::make_shared<Body>(pool_.budget_);
     const auto length = parser_->content_length();
-    if (length) answer_->length = *length;
+    if (length) response_body_->length = *length;
     const std::weak_ptr<Connection> weak = shared_from_this();
-    // Both later: who takes or abandons it may be in the middle of what it does with this connection.
-    answer_->on_room = [weak] {
+    // Both are posted: the reader of the body may be called from within this connection, which must not be
+    // reentered.
+    response_body_->on_room = [weak] {
       if (const auto self = weak.lock()) asio::post(self->pool_.io_, [self] { self->OnRoom(); });
     };
-    answer_->on_abandoned = [weak] {
+    response_body_->on_abandoned = [weak] {
       if (const auto self = weak.lock()) asio::post(self->pool_.io_, [self] { self->OnAbandoned(); });
     };
     if (parser_->is_done()) return;
-    if (answer_->length && *answer_->length > kMostHeld) return Begin();
-    if (!answer_->length) ExpireAfter(kMostHolding, [this] { Begin(); });
+    if (response_body_->length && *response_body_->length > kMostHeld) return StartStreaming();
+    if (!response_body_->length) StartTimer(kMaxBufferingTime, [this] { StartStreaming(); });
   }
 
-  // False if what nobody wants is longer than it is worth to read.
-  bool TakePiece() {
+  // Returns false if the discarded body of an unsuccessful response is too long to be read to its end.
+  bool OnBodyPiece() {
     std::string& piece = parser_->get().body();
-    if (answer_ == nullptr) {
-      passed_over_ += piece.size();
+    if (response_body_ == nullptr) {
+      discarded_bytes_ += piece.size();
       piece.clear();
-      return passed_over_ <= kMostHeld;
+      return discarded_bytes_ <= kMostHeld;
     }
-    answer_->Append(std::exchange(piece, {}));
-    if (!begun_ && !parser_->is_done() && !answer_->HasRoom()) Begin();
+    response_body_->Append(std::exchange(piece, {}));
+    if (!streaming_ && !parser_->is_done() && !response_body_->HasRoom()) StartStreaming();
     return true;
   }
 
-  void Begin() {
-    if (std::exchange(begun_, true)) return;
-    ExpectMore();
-    job_->events.begun(HeadOf(), answer_);
+  void StartStreaming() {
+    if (std::exchange(streaming_, true)) return;
+    StartPauseTimer();
+    job_->events.response_started(ForwardedHead(), response_body_);
   }
 
-  ResponseHead HeadOf() const {
+  ResponseHead ForwardedHead() const {
     ResponseHead head;
     head.result(parser_->get().result());
     if (const auto type = parser_->get()[http::field::content_type]; !type.empty())
@@ -323,38 +328,38 @@
   }
 
   void OnRoom() {
-    if (closed_ || !job_ || !begun_ || parser_->is_done()) return;
-    ExpectMore();
+    if (closed_ || !job_ || !streaming_ || parser_->is_done()) return;
+    StartPauseTimer();
     Advance();
   }
 
   void OnAbandoned() {
-    if (!closed_ && job_ && begun_) Finish(Result::kCancelled, /*reuse=*/false);
+    if (!closed_ && job_ && streaming_) Finish(Result::kCancelled, /*reuse=*/false);
   }
 
-  void DropAnswer() {
-    if (answer_ != nullptr) std::exchange(answer_, nullptr)->Break();
+  void BreakResponseBody() {
+    if (response_body_ != nullptr) std::exchange(response_body_, nullptr)->Break();
   }
 
-  // The peer closed or reset the connection. Only a close ends a body that has no other end (RFC 9112, 6.3
-  // and 8): a reset takes away what had been sent and was not read yet.
-  void OnEnd(ErrorCode how) {
+  // The peer closed or reset the connection. Only a close completes a body without length or chunks (RFC
+  // 9112, 6.3 and 8): a reset discards data that was sent but not read yet.
+  void OnReadError(ErrorCode read_error) {
     if (!job_) return Close();
-    if (how == asio::error::eof && parser_->is_header_done() && !parser_->is_done()) {
+    if (read_error == asio::error::eof && parser_->is_header_done() && !parser_->is_done()) {
       ErrorCode error;
-      parser_->put_eof(error);  // an error if it is cut off
+      parser_->put_eof(error);  // fails if the body is truncated
       if (!error && parser_->is_done()) return Complete(/*peer_open=*/false);
     }
     if (!writing_) return Finish(Result::kReset, /*reuse=*/false);
-    // Whether the last byte went out shows when the write ends; closing the socket ends it.
-    broken_ = true;
+    // Whether the last byte was written is known once the write ends; closing the socket ends it.
+    closed_by_peer_ = true;
     ErrorCode ignored;
     socket_.close(ignored);
   }
 
   void Complete(bool peer_open) {
-    const bool reuse = peer_open && whole_ && parser_->get().keep_alive() && buffer_.size() == 0;
-    if (answer_ != nullptr) answer_->End();
+    const bool reuse = peer_open && fully_written_ && parser_->get().keep_alive() && buffer_.size() == 0;
+    if (response_body_ != nullptr) response_body_->End();
     Finish(ResultOf(parser_->get()), reuse);
   }
 
@@ -364,41 +369,41 @@
     job_.reset();
     timer_.cancel();
     pool_.attempts_.erase(job.id);
-    UpstreamAnswer answer{result, {}, nullptr};
+    UpstreamResponse response{result, {}, nullptr};
     if (result == Result::kSuccess) {
-      answer.head = HeadOf();
-      if (!begun_) answer.body = answer_;
-      answer_ = nullptr;  // whole: its writer goes on without this connection
+      response.head = ForwardedHead();
+      if (!streaming_) response.body = response_body_;
+      response_body_ = nullptr;  // complete: its writer continues without this connection
     }
-    begun_ = false;
+    streaming_ = false;
     if (reuse) {
       Read();
       pool_.Release(self);
     } else {
       Close();
     }
-    job.events.done(std::move(answer));
+    job.events.done(std::move(response));
   }
 
   Upstream& pool_;
   const std::shared_ptr<Server> server_;
-  const std::uint64_t life_;
+  const std::uint64_t epoch_;
   Tcp::socket socket_;
-  asio::steady_timer timer_;  // of the dial, and then of the answer
+  asio::steady_timer timer_;  // for connecting, then for the response
   beast::flat_buffer buffer_{kMostUnparsed};
   std::optional<http::response_parser<PieceBody>> parser_;
   std::optional<Job> job_;
   MessageWriter writer_;
-  BodyPtr answer_;               // of a success, from its head to its end
-  std::size_t passed_over_ = 0;  // of the body of what is none
-  bool begun_ = false;           // the answer is passed on as it comes
-  bool head_only_ = false;       // the request is HEAD
+  BodyPtr response_body_;            // of a successful response, from its head to its end
+  std::size_t discarded_bytes_ = 0;  // of the body of an unsuccessful response
+  bool streaming_ = false;           // the response is being streamed
+  bool head_request_ = false;        // the request method is HEAD
   bool reading_ = false;
   bool dialing_ = false;
   bool writing_ = false;
-  bool earlier_ = false;  // what is read came before the request
-  bool whole_ = false;    // the request's last byte has been written
-  bool broken_ = false;   // the peer ended while it was being written
+  bool read_predates_request_ = false;  // a read that completes now started before the request
+  bool fully_written_ = false;          // the last byte of the request has been written
+  bool closed_by_peer_ = false;         // the peer closed or reset the connection during the write
   bool closed_ = false;
 };
 
@@ -410,7 +415,7 @@
     if (connection != nullptr) connection->Abandon();
   for (const auto& [id, server] : servers_) {
     for (const ConnectionPtr& connection : server->idle) connection->Abandon();
-    server->idle.clear();  // the two hold each other
+    server->idle.clear();  // server and connections hold references to each other
   }
 }
 
@@ -418,8 +423,8 @@
   const bool same = server.address == endpoint.address && server.info.started == endpoint.info.started;
   server.info = endpoint.info;
   if (endpoint.info.state != ServerInfo::State::kRemoved) server.address = endpoint.address;
-  if (same && server.Up()) return;
-  if (!same) ++server.life;
+  if (same && server.IsHealthy()) return;
+  if (!same) ++server.epoch;
   CloseIdle(server);
 }
 
@@ -430,7 +435,7 @@
 void Upstream::Retire(const std::string& id) {
   const auto found = servers_.find(id);
   if (found == servers_.end()) return;
-  ++found->second->life;
+  ++found->second->epoch;
   CloseIdle(*found->second);
 }
 
@@ -446,43 +451,44 @@
     before.erase(endpoint.info.id);
     if (endpoint.info.state == ServerInfo::State::kRemoved) servers_.erase(endpoint.info.id);
   }
-  for (auto& [id, server] : before) {  // not in the whole list: gone
+  for (auto& [id, server] : before) {  // missing from a full list: removed
     Endpoint gone{server->info, server->address};
     gone.info.state = ServerInfo::State::kRemoved;
     Update(*server, gone);
   }
 }
 
-Upstream::AttemptId Upstream::Send(const std::string& id, Order order, Events events) {
+Upstream::AttemptId Upstream::Send(const std::string& id, OutgoingRequest request, Events events) {
   const auto found = servers_.find(id);
-  if (found == servers_.end() || !found->second->Up())
-    return FailLater(std::move(events), Result::kUnreachable);
+  if (found == servers_.end() || !found->second->IsHealthy())
+    return PostFailure(std::move(events), Result::kUnreachable);
   const std::shared_ptr<Server> server = found->second;
-  ConnectionPtr connection = TakeIdle(*server);
+  ConnectionPtr connection = AcquireIdle(*server);
   const AttemptId attempt = ++last_attempt_;
-  const bool runs = order.left > 0 && order.body->ended();
-  if (order.left > 0) order.head.set(kDeadlineHeader, InSeconds(order.left));
-  Connection::Job job{attempt,           std::move(order.head), std::move(order.body),
-                      std::move(events), std::nullopt,          std::nullopt};
+  const bool deadline_running = request.time_left > 0 && request.body->ended();
+  if (request.time_left > 0) request.head.set(kDeadlineHeader, InSeconds(request.time_left));
+  Connection::Job job{
+      attempt,     std::move(request.head), std::move(request.body), std::move(events), std::nullopt,
+      std::nullopt};
   if (connection != nullptr) {
     attempts_[attempt] = connection;
     connection->Start(std::move(job));
     return attempt;
   }
   const auto now = Clock::now();
-  if (order.begin_within > 0) job.begin_by = now + std::chrono::microseconds(order.begin_within);
-  if (runs) job.expires = now + std::chrono::microseconds(order.left);
-  if (open_ >= limits_.connections && !MakeRoom())
-    return FailLater(std::move(job.events), Result::kNoDescriptor);
+  if (request.begin_within > 0) job.write_deadline = now + std::chrono::microseconds(request.begin_within);
+  if (deadline_running) job.deadline = now + std::chrono::microseconds(request.time_left);
+  if (open_connections_ >= limits_.max_connections && !CloseOldestIdle())
+    return PostFailure(std::move(job.events), Result::kNoDescriptor);
   connection = std::make_shared<Connection>(*this, server);
-  ++open_;
+  ++open_connections_;
   attempts_[attempt] = connection;
   connection->Dial(std::move(job));
   return attempt;
 }
 
-// The module must not hear of an outcome while it is still saying what to send.
-Upstream::AttemptId Upstream::FailLater(Events events, Result result) {
+// The result is posted: the decision module must not be called back from within its own Send action.
+Upstream::AttemptId Upstream::PostFailure(Events events, Result result) {
   const AttemptId attempt = ++last_attempt_;
   attempts_[attempt] = nullptr;
   asio::post(io_, [this, attempt, result, done = std::move(events.done)] {
@@ -491,7 +497,7 @@
   return attempt;
 }
 
-void Upstream::GiveUp(AttemptId attempt) {
+void Upstream::Cancel(AttemptId attempt) {
   const auto it = attempts_.find(attempt);
   if (it == attempts_.end()) return;
   const ConnectionPtr connection = it->second;
@@ -499,53 +505,53 @@
   if (connection != nullptr) connection->Close();
 }
 
-bool Upstream::Withdraw(AttemptId attempt) {
+bool Upstream::CancelIfUnsent(AttemptId attempt) {
   const auto it = attempts_.find(attempt);
-  if (it == attempts_.end() || it->second == nullptr || !it->second->Dialing()) return false;
-  GiveUp(attempt);
+  if (it == attempts_.end() || it->second == nullptr || !it->second->IsDialing()) return false;
+  Cancel(attempt);
   return true;
 }
 
-Upstream::ConnectionPtr Upstream::TakeIdle(Server& server) {
+Upstream::ConnectionPtr Upstream::AcquireIdle(Server& server) {
   while (!server.idle.empty()) {
     ConnectionPtr connection = server.idle.back();
     server.idle.pop_back();
-    if (connection->Usable()) return connection;
+    if (connection->IsUsable()) return connection;
     connection->Close();
   }
   return nullptr;
 }
 
-// Closes the connection that has been idle longest. False if all are at work.
-bool Upstream::MakeRoom() {
+// Closes the connection that has been idle longest. Returns false if all are in use.
+bool Upstream::CloseOldestIdle() {
   Server* oldest = nullptr;
   for (auto& [id, server] : servers_)
     if (!server->idle.empty() &&
         (oldest == nullptr || server->idle.front()->idle_since < oldest->idle.front()->idle_since))
       oldest = server.get();
   if (oldest == nullptr) return false;
-  const ConnectionPtr kept = oldest->idle.front();
-  kept->Close();
+  const ConnectionPtr connection = oldest->idle.front();
+  connection->Close();
   return true;
 }
 
 void Upstream::Release(const ConnectionPtr& connection) {
-  if (!connection->Current()) return connection->Close();
+  if (!connection->IsCurrent()) return connection->Close();
   connection->idle_since = Clock::now();
   connection->server().idle.push_back(connection);
-  SweepLater();
+  ScheduleSweep();
 }
 
-void Upstream::Forget(const Connection& connection) {
-  --open_;
+void Upstream::OnClosed(const Connection& connection) {
+  --open_connections_;
   auto& idle = const_cast<Connection&>(connection).server().idle;
   const auto same = [&](const ConnectionPtr& other) { return other.get() == &connection; };
   idle.erase(std::remove_if(idle.begin(), idle.end(), same), idle.end());
 }
 
-void Upstream::SweepLater() {
-  if (limits_.keep_idle <= 0 || std::exchange(sweeping_, true)) return;
-  sweep_.expires_after(std::chrono::microseconds(limits_.keep_idle / kSweeps));
+void Upstream::ScheduleSweep() {
+  if (limits_.idle_timeout <= 0 || std::exchange(sweeping_, true)) return;
+  sweep_.expires_after(std::chrono::microseconds(limits_.idle_timeout / kSweepsPerIdleTimeout));
   sweep_.async_wait([this](ErrorCode error) {
     if (error) return;
     sweeping_ = false;
@@ -557,12 +563,13 @@
   const auto now = Clock::now();
   bool any = false;
   for (auto& [id, server] : servers_) {
-    const std::vector<ConnectionPtr> idle = server->idle;  // Close takes them out of the original
+    const std::vector<ConnectionPtr> idle = server->idle;  // a copy, as Close removes from the original
     for (const ConnectionPtr& connection : idle)
-      if (now - connection->idle_since >= std::chrono::microseconds(limits_.keep_idle)) connection->Close();
+      if (now - connection->idle_since >= std::chrono::microseconds(limits_.idle_timeout))
+        connection->Close();
     any = any || !server->idle.empty();
   }
-  if (any) SweepLater();
+  if (any) ScheduleSweep();
 }
 
 }  // namespace violetwing::sidecar
--- a/src/sidecar/upstream.hpp
+++ b/src/sidecar/upstream.hpp
@@ -1,5 +1,6 @@
-// Connections to the servers: one request on each at a time, the most recently used first. Carries out an
-// attempt exactly once and says what became of it; never sends one again by itself.
+// Connection pool to the servers. Each connection may_have_body one request at a time, and the most recently
+// used idle connection is reused first. Every attempt is sent at most once and its result is reported; the
+// pool never retries.
 #ifndef VIOLETWING_SIDECAR_UPSTREAM_HPP_
 #define VIOLETWING_SIDECAR_UPSTREAM_HPP_
 
@@ -17,43 +18,48 @@
 
 namespace violetwing::sidecar {
 
-struct UpstreamAnswer {
+/// The outcome of one attempt.
+struct UpstreamResponse {
   Result result = Result::kUnreachable;
-  ResponseHead head;       // of interest after a success ...
-  BodyPtr body = nullptr;  // ... as is the body, which is whole; null if the answer has begun before
+  ResponseHead head;       // set only if the result is kSuccess
+  BodyPtr body = nullptr;  // the complete body; null without success or if the response was streamed
 };
 
+/// Pool of keep-alive HTTP/1.1 connections to the servers. All calls and callbacks run on the loop of `io`.
 class Upstream {
  public:
   using AttemptId = std::uint64_t;
   struct Events {
-    // Called once, from the loop and never from in here, unless the attempt is given up.
-    std::function<void(UpstreamAnswer)> done;
-    // Called before that if the answer is to be passed on as it comes: it is too long to be held, or its end
-    // is not in sight. What is wrong with it later breaks the body.
-    std::function<void(const ResponseHead&, const BodyPtr&)> begun;
+    /// Called exactly once with the result, always from the event loop and never from within Send, unless
+    /// the attempt is canceled.
+    std::function<void(UpstreamResponse)> done;
+    /// Called before `done` if the response is streamed, as it is too long to be buffered or its end has not
+    /// arrived in time. A later failure breaks the body.
+    std::function<void(const ResponseHead&, const BodyPtr&)> response_started;
   };
   struct Limits {
-    Micros keep_idle = 0;     // an idle connection is closed after so long; 0 = only when its peer does
-    Micros dial_timeout = 0;  // 0 = as long as the attempt lasts
-    std::size_t connections = 512;
+    Micros idle_timeout = 0;  ///< idle connections are closed after this time; 0 = only when the peer does
+    Micros dial_timeout = 0;  ///< 0 = limited only by the attempt itself
+    std::size_t max_connections = 512;  ///< maximum number of open connections, over all servers
   };
 
-  // What an attempt sends. A body that is still coming is passed on as it comes.
-  struct Order {
+  /// The request that an attempt sends. A body that is still being received is streamed.
+  struct OutgoingRequest {
     RequestHead head;
     BodyPtr body;
-    Micros left = 0;  // the server is told so much, less what a dial takes of it; 0 = not told
-    // A connection that comes up later than this is closed with nothing written, and the attempt is
-    // kNeverSent; 0 = whenever.
+    /// Time left, sent to the server in Req-Deadline. If the body is complete, the time spent on connecting
+    /// is deducted. 0 = the header is not set.
+    Micros time_left = 0;
+    /// A connection that is established later than this is closed with nothing written, and the result is
+    /// kNeverSent; 0 = no limit.
     Micros begin_within = 0;
   };
 
-  // Either may be empty.
+  /// Callbacks for all attempts. Either may be empty.
   struct Hooks {
-    std::function<void()> written;  // an attempt has been written whole
-    // A connection has come up, and whether its server may still be sent to is looked at next.
-    std::function<void()> before_look;
+    std::function<void()> request_written;  ///< the last byte of a request has been written
+    /// A connection attempt has ended; whether its server may still be used is checked next.
+    std::function<void()> before_server_check;
   };
 
   Upstream(asio::io_context& io, Limits limits, std::shared_ptr<Budget> budget, Hooks hooks);
@@ -63,23 +69,24 @@
   Upstream(const Upstream&) = delete;
   Upstream& operator=(const Upstream&) = delete;
 
-  // Takes a list. A server that drains, is gone, has moved or has restarted loses its idle connections; what
-  // is under way on the others finishes.
+  /// Applies a server list. Idle connections to a server that is draining, was removed, or has a new address
+  /// or start time are closed; requests in flight finish.
   void Apply(const EndpointList& list);
 
-  // Takes a server out of use: idle connections to it close, and dials not yet written fail. What is under
-  // way finishes.
+  /// Closes the idle connections to a server and fails attempts that are still connecting to it. Requests in
+  /// flight finish.
   void Retire(const std::string& server);
 
-  // Starts an attempt.
-  AttemptId Send(const std::string& server, Order order, Events events);
-  // Ends an attempt by closing its connection; its `done` is not called any more.
-  void GiveUp(AttemptId attempt);
-  // Gives up an attempt of which nothing has been written; false if it has.
-  bool Withdraw(AttemptId attempt);
+  /// Starts an attempt. Its result, also of an immediate failure, is reported through `events`.
+  AttemptId Send(const std::string& server, OutgoingRequest request, Events events);
+  /// Ends an attempt by closing its connection; its `done` is not called. Does nothing if it has ended.
+  void Cancel(AttemptId attempt);
+  /// Cancels an attempt that is still connecting, so that nothing of it has been written. Returns false, and
+  /// lets it continue, in any other state.
+  bool CancelIfUnsent(AttemptId attempt);
 
-  bool any_server() const { return !servers_.empty(); }
-  std::size_t open_connections() const { return open_; }
+  bool has_servers() const { return !servers_.empty(); }
+  std::size_t open_connections() const { return open_connections_; }
 
  private:
   class Connection;
@@ -88,12 +95,12 @@
 
   static void Update(Server& server, const Endpoint& endpoint);
   static void CloseIdle(Server& server);
-  ConnectionPtr TakeIdle(Server& server);
-  bool MakeRoom();
-  AttemptId FailLater(Events events, Result result);
+  ConnectionPtr AcquireIdle(Server& server);
+  bool CloseOldestIdle();
+  AttemptId PostFailure(Events events, Result result);
   void Release(const ConnectionPtr& connection);
-  void Forget(const Connection& connection);
-  void SweepLater();
+  void OnClosed(const Connection& connection);
+  void ScheduleSweep();
   void Sweep();
 
   asio::io_context& io_;
@@ -102,10 +109,10 @@
   const Hooks hooks_;
   asio::steady_timer sweep_;
   bool sweeping_ = false;
-  std::size_t open_ = 0;
+  std::size_t open_connections_ = 0;
   AttemptId last_attempt_ = 0;
   std::unordered_map<std::string, std::shared_ptr<Server>> servers_;
-  std::unordered_map<AttemptId, ConnectionPtr> attempts_;  // null: it has failed, which is about to be told
+  std::unordered_map<AttemptId, ConnectionPtr> attempts_;  // null: failed, `done` is pending
 };
 
 }  // namespace violetwing::sidecar
--- a/tests/sidecar/scripted_peers.hpp
+++ b/tests/sidecar/scripted_peers.hpp
@@ -1,5 +1,5 @@
-// Scripted peers for tests over loopback: a loop with a deadline, servers that play a script on each
-// connection, and clients, at addresses whose ports the kernel chooses.
+// Scripted peers for tests over loopback: an event loop with a timeout, servers that run a script on each
+// connection, and clients. The kernel chooses the ports.
 #ifndef VIOLETWING_TESTS_SIDECAR_SCRIPTED_PEERS_HPP_
 #define VIOLETWING_TESTS_SIDECAR_SCRIPTED_PEERS_HPP_
 
@@ -19,10 +19,11 @@
 
 using namespace std::chrono_literals;
 
-// Runs the loop until `done` holds; false if it does not within a time that is ample on a busy machine.
+// Runs the event loop until `done` returns true; returns false on a timeout. The default timeout is ample
+// even on a busy machine.
 inline bool RunUntil(asio::io_context& io, const std::function<bool()>& done,
-                     std::chrono::milliseconds most = 20s) {
-  const auto end = std::chrono::steady_clock::now() + most;
+                     std::chrono::milliseconds timeout = 20s) {
+  const auto end = std::chrono::steady_clock::now() + timeout;
   io.restart();
   while (!done()) {
     if (std::chrono::steady_clock::now() > end) return false;
@@ -37,7 +38,8 @@
   RunUntil(io, [&] { return std::chrono::steady_clock::now() >= end; });
 }
 
-// Holds the loop until `when`, so that what comes due by then and what is written by then meet in one turn.
+// Blocks the event loop until `when`, so that timers that expire and data that arrives by then are handled in
+// the same iteration.
 inline void HoldUntil(std::chrono::steady_clock::time_point when) {
   while (std::chrono::steady_clock::now() < when) {
   }
@@ -49,7 +51,7 @@
   return address.address().to_string() + ":" + std::to_string(address.port());
 }
 
-// A peer's side of a connection: keeps what it has read, writes what it is told.
+// The peer's end of a connection. Records all received data.
 class Peer : public std::enable_shared_from_this<Peer> {
  public:
   explicit Peer(Tcp::socket connected) : socket(std::move(connected)) {}
@@ -78,7 +80,8 @@
     socket.set_option(asio::socket_base::linger(true, 0), ignored);
     socket.close(ignored);
   }
-  // Requests read so far whose header has come whole; enough for the bodies that the tests send.
+  // Number of requests whose header has been received completely. Counts empty lines, so the bodies must not
+  // contain any.
   int requests() const {
     int count = 0;
     for (std::size_t at = received.find("\r\n\r\n"); at != std::string::npos;
@@ -96,10 +99,10 @@
   std::array<char, 65536> input_{};
 };
 
-// Listens and plays `on_data` on each connection.
+// A server that calls `on_data` whenever data arrives on one of its connections.
 class ScriptedServer {
  public:
-  enum class Begin { kListening, kDown };  // down: its address is its own, and refuses connections
+  enum class Begin { kListening, kDown };  // kDown: its port is reserved, but connections are refused
 
   explicit ScriptedServer(asio::io_context& io, std::function<void(Peer&)> script = {},
                           Begin begin = Begin::kListening)
@@ -148,7 +151,7 @@
          "\r\n\r\n" + body;
 }
 
-// Answers each request with 200 and `body`.
+// A script that responds to each request with 200 and `body`.
 inline std::function<void(Peer&)> Serves(const std::string& body) {
   return [body, answered = std::make_shared<std::vector<std::pair<const Peer*, int>>>()](Peer& peer) {
     auto it =
--- a/tests/sidecar/sidecar_fixture.hpp
+++ b/tests/sidecar/sidecar_fixture.hpp
@@ -1,4 +1,4 @@
-// The whole sidecar between scripted clients, servers and discovery, for the tests that need it.
+// Test fixture that runs a complete sidecar between scripted clients, servers and discovery.
 #ifndef VIOLETWING_TESTS_SIDECAR_SIDECAR_FIXTURE_HPP_
 #define VIOLETWING_TESTS_SIDECAR_SIDECAR_FIXTURE_HPP_
 
@@ -56,7 +56,7 @@
     return "POST /api HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: " + id + "\r\nReq-Kind: " + kind +
            "\r\nReq-Deadline: " + deadline + "\r\nContent-Length: 4\r\n\r\nbody";
   }
-  // What operators are answered.
+  // Sends a request to the admin address and returns the complete response.
   std::string Call(const std::string& text) {
     auto caller = Connect(io, sidecar->admin_address());
     caller->Write(text);
@@ -69,7 +69,7 @@
                 "\r\n\r\n" + body)
         .substr(9, 3);
   }
-  // One of the figures; empty if it is not told.
+  // Value of one metric; empty if it is missing.
   std::string Figure(const std::string& name) {
     const std::string text = Call("GET /metrics HTTP/1.1\r\n\r\n");
     const std::size_t at = text.find("\nsidecar." + name + "=");
@@ -82,7 +82,7 @@
     client->Write(text);
     return client;
   }
-  // The status of the client's n-th answer; empty if none comes.
+  // Status code of the client's n-th response; empty on a timeout.
   std::string Status(Peer& client, int n = 1) {
     if (!RunUntil(io, [&] { return client.requests() >= n; })) return "";
     std::size_t at = 0;
--- a/tests/sidecar/sidecar_test.cpp
+++ b/tests/sidecar/sidecar_test.cpp
@@ -1,4 +1,4 @@
-// The whole sidecar between scripted clients, servers and discovery.
+// Tests a complete sidecar between scripted clients, servers and discovery.
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
@@ -10,7 +10,7 @@
 
 using namespace testing;  // NOLINT(google-build-using-namespace)
 
-TEST_F(SidecarTest, IsReadyOnceItKnowsAServer) {
+TEST_F(SidecarTest, IsReadyOnceServerIsKnown) {
   ScriptedServer server(io, Serves("ok"));
   Start(std::vector<nlohmann::json>());
   EXPECT_EQ(Ask("GET /ready HTTP/1.1\r\n\r\n"), "503");
@@ -19,7 +19,7 @@
   EXPECT_EQ(Ask(Get("r1")), "200");
 }
 
-TEST_F(SidecarTest, PassesRequestAndAnswerOn) {
+TEST_F(SidecarTest, ForwardsRequestAndResponse) {
   ScriptedServer server(io, Serves("the body"));
   Start({Entry("s1", server.address)});
   auto client = Client(Get("r1", "Connection: keep-alive\r\nTE: trailers\r\n"));
@@ -28,14 +28,15 @@
   const std::string& sent = server.peers[0]->received;
   EXPECT_EQ(sent.rfind("GET /api?obj=k1 HTTP/1.1\r\n", 0), 0U);
   EXPECT_NE(sent.find("Req-Id: r1\r\n"), std::string::npos);
-  EXPECT_NE(sent.find("Req-Deadline: 4.9"), std::string::npos) << sent;  // what is left, with the margin off
+  // The time left, less the response margin.
+  EXPECT_NE(sent.find("Req-Deadline: 4.9"), std::string::npos) << sent;
   EXPECT_EQ(sent.find("TE: "), std::string::npos);
   client->Write(Get("r2"));
   EXPECT_EQ(Status(*client, 2), "200");
   EXPECT_EQ(sidecar->requests_held(), 0U);
 }
 
-TEST_F(SidecarTest, AnswersPipelinedRequestsInTurn) {
+TEST_F(SidecarTest, AnswersPipelinedRequestsInOrder) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
   auto client = Client(Post("pay", "r1") + Get("r2") + Get("r3"));
@@ -43,7 +44,7 @@
   EXPECT_EQ(server.requests(), 3);
 }
 
-TEST_F(SidecarTest, RejectsWhatIsMalformedOrTooLargeAndLivesOn) {
+TEST_F(SidecarTest, RejectsMalformedAndTooLargeRequests) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
   const std::pair<std::string, std::string> cases[] = {
@@ -66,7 +67,8 @@
   for (const auto& [text, status] : cases) {
     auto client = Client(text);
     EXPECT_EQ(Status(*client), status) << text.substr(0, 40);
-    EXPECT_TRUE(RunUntil(io, [&] { return client->ended; })) << "left open: " << text.substr(0, 40);
+    EXPECT_TRUE(RunUntil(io, [&] { return client->ended; }))
+        << "connection left open: " << text.substr(0, 40);
   }
   EXPECT_EQ(Ask("GET /api HTTP/1.1\r\nReq-Kind: look\r\n\r\n"), "400");
   EXPECT_EQ(Ask("GET /api HTTP/1.1\r\nReq-Id: r1\r\nReq-Kind: other\r\n\r\n"), "404");
@@ -75,8 +77,8 @@
   EXPECT_EQ(Ask(Get("r2")), "200");
 }
 
-// A body of which each part is unlike the others, and which holds no empty line.
-std::string Long(std::size_t size) {
+// A body without repetitions, so that misplaced data is noticed, and without an empty line.
+std::string LongBody(std::size_t size) {
   std::string text;
   while (text.size() < size) text += std::to_string(text.size()) + ",";
   text.resize(size);
@@ -88,8 +90,8 @@
   return at == std::string::npos ? "" : message.substr(at + 4);
 }
 
-// The bytes of a chunked body, if it is whole; empty if not.
-std::string Unchunked(const std::string& body) {
+// Decodes a chunked body; empty if it is incomplete.
+std::string DecodeChunked(const std::string& body) {
   std::string out;
   for (std::size_t at = 0;;) {
     const std::size_t end = body.find("\r\n", at);
@@ -106,9 +108,9 @@
          "\r\nReq-Deadline: 5.0\r\nContent-Length: " + std::to_string(length) + "\r\n\r\n";
 }
 
-TEST_F(SidecarTest, LongBodiesPassUnchangedBothWays) {
-  const std::string up = Long(3'000'000);
-  const std::string down = Long(2'500'000);
+TEST_F(SidecarTest, ForwardsLongBodiesUnchanged) {
+  const std::string up = LongBody(3'000'000);
+  const std::string down = LongBody(2'500'000);
   bool chunked = false;
   ScriptedServer server(io, [&](Peer& peer) {
     if (BodyOf(peer.received).size() < up.size()) return;
@@ -129,8 +131,8 @@
   Start({Entry("s1", server.address)});
   const auto send = [&](const std::string& text) {
     auto client = Connect(io, sidecar->address());
-    auto kept = std::make_shared<std::string>(text);
-    asio::async_write(client->socket, asio::buffer(*kept), [kept](ErrorCode, std::size_t) {});
+    auto buffer = std::make_shared<std::string>(text);
+    asio::async_write(client->socket, asio::buffer(*buffer), [buffer](ErrorCode, std::size_t) {});
     return client;
   };
   auto client = send(PostLong("port", "r1", up.size()) + up);
@@ -148,15 +150,15 @@
     pieces += "186a0;with=extension\r\n" + up.substr(at, 100'000) + "\r\n";
   client = send(pieces + "0\r\nTrailing: field\r\n\r\n");
   ASSERT_TRUE(RunUntil(io, [&] { return client->received.find("\r\n0\r\n\r\n") != std::string::npos; }));
-  EXPECT_TRUE(Unchunked(BodyOf(client->received)) == down);
+  EXPECT_TRUE(DecodeChunked(BodyOf(client->received)) == down);
   std::string received;
   for (const auto& peer : server.peers) received += peer->received;
-  EXPECT_TRUE(Unchunked(BodyOf(received)) == up);
+  EXPECT_TRUE(DecodeChunked(BodyOf(received)) == up);
   EXPECT_EQ(received.find("Trailing"), std::string::npos);
 }
 
-TEST_F(SidecarTest, ALongAnswerBeginsAtOnceAndIsSeenToBreakOff) {
-  const std::string half = Long(100'000);
+TEST_F(SidecarTest, StreamsLongResponseAndReportsTruncation) {
+  const std::string half = LongBody(100'000);
   ScriptedServer server(
       io, [&](Peer& peer) { peer.Write("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + half); });
   Start({Entry("s1", server.address)});
@@ -167,12 +169,12 @@
   server.peers[0]->Reset();
   ASSERT_TRUE(RunUntil(io, [&] { return client->ended; }));
   EXPECT_TRUE(BodyOf(client->received) == half);
-  EXPECT_EQ(server.requests(), 1);  // an answer that has begun is no other's to give
+  EXPECT_EQ(server.requests(), 1);  // no retry after the response has started
   EXPECT_EQ(Figure("downstream_requests.look.failed"), "1");
   EXPECT_EQ(Figure("pending"), "0");
 }
 
-TEST_F(SidecarTest, AnAnswerOfUnknownLengthIsNotHeldBackForLong) {
+TEST_F(SidecarTest, StreamsResponseOfUnknownLength) {
   ScriptedServer server(io, [&](Peer& peer) {
     peer.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
   });
@@ -181,19 +183,20 @@
   ASSERT_TRUE(RunUntil(io, [&] { return client->received.find("first") != std::string::npos; }));
   server.peers[0]->Close();
   ASSERT_TRUE(RunUntil(io, [&] { return client->ended; }));
-  EXPECT_EQ(client->received.find("\r\n0\r\n"), std::string::npos);  // it can tell that there was more
+  // Without the last chunk the client can tell that the body is truncated.
+  EXPECT_EQ(client->received.find("\r\n0\r\n"), std::string::npos);
 }
 
-TEST_F(SidecarTest, ASlowReaderHoldsTheServerBackAndLeavingFreesIt) {
+TEST_F(SidecarTest, SlowClientCausesBackpressureUntilItDisconnects) {
   constexpr std::size_t kSize = 32'000'000;
   std::size_t sent = 0;
   const std::string piece(64'000, 'x');
   std::function<void(Peer&)> pump = [&](Peer& peer) {
     if (sent >= kSize) return;
     asio::async_write(peer.socket, asio::buffer(piece),
-                      [&, kept = peer.shared_from_this()](ErrorCode error, std::size_t n) {
+                      [&, self = peer.shared_from_this()](ErrorCode error, std::size_t n) {
                         sent += n;
-                        if (!error) pump(*kept);
+                        if (!error) pump(*self);
                       });
   };
   ScriptedServer server(io, [&](Peer& peer) {
@@ -203,7 +206,7 @@
   Start({Entry("s1", server.address)});
   auto client = std::make_shared<Peer>(Tcp::socket(io));
   client->socket.connect(sidecar->address());
-  client->Write(Get("r1"));  // and does not read
+  client->Write(Get("r1"));  // the client does not read
   std::size_t before = 1;
   ASSERT_TRUE(RunUntil(io, [&] {  // until the kernel's buffers are full
     RunFor(io, 100ms);
@@ -215,7 +218,7 @@
   EXPECT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
 }
 
-TEST_F(SidecarTest, WhatIsPartlyGoneIsNotSentAgain) {
+TEST_F(SidecarTest, DoesNotRetryPartlyDiscardedBody) {
   int n = 0;
   const auto reset_late = [&](Peer& peer) {
     if (peer.received.size() > 150'000 && n++ == 0) peer.Reset();
@@ -223,13 +226,13 @@
   ScriptedServer one(io, reset_late);
   ScriptedServer two(io, reset_late);
   Start({Entry("s1", one.address), Entry("s2", two.address)});
-  auto client = Client(PostLong("pay", "r1", 300'000) + Long(200'000));
-  const std::string status = Status(*client);  // refused or failed: the body was never whole
+  auto client = Client(PostLong("pay", "r1", 300'000) + LongBody(200'000));
+  const std::string status = Status(*client);  // rejected or failed, as the body never arrived completely
   EXPECT_TRUE(status == "503" || status == "502") << status;
   EXPECT_EQ(one.requests() + two.requests(), 1);
 }
 
-TEST_F(SidecarTest, AHeldBodyIsSentAgain) {
+TEST_F(SidecarTest, RetriesBufferedBody) {
   int n = 0;
   const auto decline_first = [&](Peer& peer) {
     if (BodyOf(peer.received).size() < 65536) return;
@@ -239,13 +242,13 @@
   ScriptedServer one(io, decline_first);
   ScriptedServer two(io, decline_first);
   Start({Entry("s1", one.address), Entry("s2", two.address)});
-  const std::string body = Long(65536);
+  const std::string body = LongBody(65536);
   EXPECT_EQ(Ask(PostLong("port", "r1", body.size()) + body), "200");
   EXPECT_TRUE(BodyOf(one.peers[0]->received) == body);
   EXPECT_TRUE(BodyOf(two.peers[0]->received) == body);
 }
 
-TEST_F(SidecarTest, SpeaksTheFormsOfHttp) {
+TEST_F(SidecarTest, SupportsHttpVariants) {
   std::string last;
   ScriptedServer server(io, [&](Peer& peer) {
     last = std::exchange(peer.received, {});
@@ -254,9 +257,9 @@
   });
   Start({Entry("s1", server.address)});
   auto client = Client("HEAD /api HTTP/1.1\r\nReq-Id: r1\r\nReq-Kind: look\r\n\r\n" + Get("r2"));
-  EXPECT_EQ(Status(*client, 2), "200");  // nothing of a body came between
+  EXPECT_EQ(Status(*client, 2), "200");  // no body after the response to HEAD
   EXPECT_NE(client->received.find("Content-Length: 100\r\n"), std::string::npos);
-  // In pieces of one byte, with an extension and a trailer.
+  // Written one byte at a time, with a chunk extension and a trailer.
   const std::string text =
       "POST /api HTTP/1.1\r\nReq-Id: r3\r\nReq-Kind: port\r\nTransfer-Encoding: chunked\r\n\r\n"
       "5;a=b\r\nhello\r\n0\r\nT: 1\r\n\r\n";
@@ -279,7 +282,7 @@
   EXPECT_TRUE(RunUntil(io, [&] { return client->ended; }));
 }
 
-TEST_F(SidecarTest, AnUnsafeRequestThatMayHaveRunFailsAndIsSentOnce) {
+TEST_F(SidecarTest, DoesNotRetryUnsafeRequestThatMayHaveRun) {
   const auto reset = [](Peer& peer) { peer.Reset(); };
   ScriptedServer one(io, reset);
   ScriptedServer two(io, reset);
@@ -289,7 +292,7 @@
   EXPECT_EQ(one.requests() + two.requests(), 1);
 }
 
-TEST_F(SidecarTest, AnUnsafeRequestThatWasDeclinedGoesElsewhere) {
+TEST_F(SidecarTest, RetriesDeclinedUnsafeRequestOnOtherServer) {
   int seen = 0;
   const auto decline_first = [&](Peer& peer) {
     peer.Write(seen++ == 0 ? Reply("503 Service Unavailable", "", "Srv-Declined: 1\r\n")
@@ -303,17 +306,18 @@
   EXPECT_EQ(two.requests(), 1);
 }
 
-TEST_F(SidecarTest, ASilentServerGetsNoMoreThanTheClientsTime) {
+TEST_F(SidecarTest, SilentServerTimesOutWithinClientDeadline) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   const auto begin = std::chrono::steady_clock::now();
   EXPECT_EQ(Ask(Post("port", "r1", "0.6")), "502");
   EXPECT_LT(std::chrono::steady_clock::now() - begin, 600ms);
-  EXPECT_TRUE(RunUntil(io, [&] { return server.peers[0]->ended; })) << "the attempt's connection was kept";
+  EXPECT_TRUE(RunUntil(io, [&] { return server.peers[0]->ended; }))
+      << "the connection of the attempt is still open";
   EXPECT_EQ(sidecar->requests_held(), 0U);
 }
 
-TEST_F(SidecarTest, AClientThatLeavesEndsItsAttempt) {
+TEST_F(SidecarTest, ClientDisconnectCancelsAttempt) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   auto client = Client(Get("r1"));
@@ -323,7 +327,7 @@
   EXPECT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
 }
 
-TEST_F(SidecarTest, ATruncatedAnswerIsNeverPassedOn) {
+TEST_F(SidecarTest, DoesNotForwardTruncatedBufferedResponse) {
   int seen = 0;
   ScriptedServer server(io, [&](Peer& peer) {
     if (seen++ > 0) return peer.Write(Reply("200 OK", "whole"));
@@ -332,12 +336,12 @@
   });
   Start({Entry("s1", server.address)});
   auto client = Client(Get("r1"));
-  EXPECT_EQ(Status(*client), "200");  // safe to repeat: the module sends it again
+  EXPECT_EQ(Status(*client), "200");  // GET is safe to retry, so the module sends it again
   ASSERT_TRUE(RunUntil(io, [&] { return client->received.find("whole") != std::string::npos; }));
   EXPECT_EQ(client->received.find("short"), std::string::npos);
 }
 
-TEST_F(SidecarTest, RefusesWithAdviceWhenNoServerCanBeReached) {
+TEST_F(SidecarTest, RejectsWithRetryAfterWhenNoServerIsReachable) {
   ScriptedServer server(io);
   server.StopListening();
   Start({Entry("s1", server.address)});
@@ -346,7 +350,7 @@
   EXPECT_NE(client->received.find("Retry-After: "), std::string::npos);
 }
 
-TEST_F(SidecarTest, SendsNothingToAServerThatDrains) {
+TEST_F(SidecarTest, SendsNothingToDrainingServer) {
   ScriptedServer one(io, Serves("one"));
   ScriptedServer two(io, Serves("two"));
   Start({Entry("s1", one.address)});
@@ -358,7 +362,7 @@
   EXPECT_EQ(two.requests(), 5);
 }
 
-TEST_F(SidecarTest, ABanHoldsThroughListsAndAStartAndEndsWithOneCall) {
+TEST_F(SidecarTest, BanSurvivesListsAndRestartUntilEnabled) {
   ScriptedServer one(io, Serves("one"));
   ScriptedServer two(io, Serves("two"));
   const std::vector<nlohmann::json> both = {Entry("s1", one.address), Entry("s2", two.address)};
@@ -372,7 +376,7 @@
   EXPECT_EQ(CallStatus("disable", "s1"), "200");
   EXPECT_EQ(CallStatus("disable", "s1"), "200");
   EXPECT_EQ(CallStatus("disable", "s7"), "404");
-  EXPECT_TRUE(RunUntil(io, [&] { return one.peers[0]->ended; }));  // nothing is kept open to it
+  EXPECT_TRUE(RunUntil(io, [&] { return one.peers[0]->ended; }));  // its idle connections are closed
   EXPECT_EQ(Figure("members"), "2");
   EXPECT_EQ(Figure("members_unavailable"), "1");
   for (int i = 0; i < 20; ++i) ask();
@@ -383,7 +387,7 @@
   for (int i = 0; i < 20; ++i) ask();
   const auto old = std::move(sidecar);
   watching = nullptr;
-  Start(both);  // beside it, as in an upgrade
+  Start(both);  // runs next to the old process, as in an upgrade
   for (int i = 0; i < 20; ++i) ask();
   EXPECT_EQ(one.requests(), before);
   EXPECT_EQ(CallStatus("enable", "s1"), "200");
@@ -392,7 +396,7 @@
   EXPECT_EQ(CallStatus("enable", "s1"), "200");
 }
 
-TEST_F(SidecarTest, ABanThatAnotherProcessKeepsIsFollowed) {
+TEST_F(SidecarTest, FollowsBansOfOtherProcess) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
   DisabledServers other(directory);
@@ -406,7 +410,7 @@
   EXPECT_EQ(Ask(Get("r2")), "200");
 }
 
-TEST_F(SidecarTest, ABanThatCannotBeKeptIsNotPromised) {
+TEST_F(SidecarTest, DisableFailsIfBanCannotBeStored) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
   std::filesystem::remove_all(directory);
@@ -414,7 +418,7 @@
   EXPECT_EQ(Ask(Get("r1")), "200");
 }
 
-TEST_F(SidecarTest, TheFiguresAddUp) {
+TEST_F(SidecarTest, MetricsAreConsistent) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
   EXPECT_EQ(Figure("downstream_requests.port.failed"), "0");
@@ -439,7 +443,7 @@
   EXPECT_EQ(Figure("pending"), "1");
 }
 
-TEST_F(SidecarTest, AnIdInUseIsNotTakenTwice) {
+TEST_F(SidecarTest, RejectsRequestIdInUse) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   auto first = Client(Post("port", "r1"));
@@ -450,11 +454,11 @@
   EXPECT_EQ(Status(*first), "200");
 }
 
-TEST_F(SidecarTest, MakesRoomForClientsByClosingIdleConnections) {
+TEST_F(SidecarTest, ClosesIdleClientConnectionsForNewClients) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)}, [](nlohmann::json& json) { json["limits"]["sockets"] = 64; });
   std::vector<std::shared_ptr<Peer>> clients;
-  for (int i = 0; i < 60; ++i) {  // three times what 64 descriptors leave room for
+  for (int i = 0; i < 60; ++i) {  // three times the number of clients for which 64 descriptors suffice
     clients.push_back(Client(Get("r" + std::to_string(i))));
     EXPECT_EQ(Status(*clients.back()), "200") << i;
   }
@@ -462,8 +466,8 @@
   EXPECT_FALSE(clients.back()->ended);
 }
 
-// Else they fill the places of clients, who then cannot connect.
-TEST_F(SidecarTest, PeersThatSendNothingOrHalfARequestLoseTheirPlaces) {
+// Guards against idle or stalled peers that use up the connections for clients, so that these cannot connect.
+TEST_F(SidecarTest, ClosesConnectionsWithoutCompleteRequest) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)}, [](nlohmann::json& json) { json["limits"]["sockets"] = 64; });
   auto client = Client(Get("r1"));
@@ -477,13 +481,13 @@
   EXPECT_EQ(Status(*peers[1]), "408");
   client = Client(Get("r2"));
   EXPECT_EQ(Status(*client), "200");
-  client->Write("GET /api HTTP/1.1\r\n");  // a later request that does not come whole
+  client->Write("GET /api HTTP/1.1\r\n");  // a later request that is incomplete
   EXPECT_EQ(Status(*client, 2), "408");
   EXPECT_TRUE(RunUntil(io, [&] { return client->ended; }));
   EXPECT_EQ(server.requests(), 2);
 }
 
-TEST_F(SidecarTest, ADrainTakesWhatStillComesAndFinishesWhatIsHeld) {
+TEST_F(SidecarTest, DrainAcceptsLateRequestsAndFinishesPendingOnes) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   auto idle = Connect(io, sidecar->address());
@@ -507,8 +511,9 @@
   EXPECT_TRUE(RunUntil(io, [&] { return finished; }));
 }
 
-// The module gives up on it when its wait is over, from a timer and not from an outcome.
-TEST_F(SidecarTest, ARequestRefusedAfterItsWaitIsNotHeldOn) {
+// The module rejects the request from a timer when its time to wait for a server is over, not as a reaction
+// to the result of an attempt. Such a request was never erased, and a drain did not finish.
+TEST_F(SidecarTest, ErasesRequestRejectedByTimer) {
   ScriptedServer server(
       io, [](Peer& peer) { peer.Write(Reply("503 Service Unavailable", "", "Srv-Declined: 1\r\n")); });
   Start({Entry("s1", server.address)});
@@ -525,7 +530,7 @@
       io, [&] { return finished; }, 2s));
 }
 
-TEST_F(SidecarTest, ADrainEndsInTimeEvenIfServersStaySilent) {
+TEST_F(SidecarTest, DrainEndsInTimeWithSilentServers) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   auto client = Client(Post("port", "r1"));
@@ -535,7 +540,7 @@
   sidecar->Drain([&] { finished = true; });
   EXPECT_EQ(Status(*client), "502");
   EXPECT_TRUE(RunUntil(io, [&] { return finished; }));
-  EXPECT_LT(std::chrono::steady_clock::now() - begin, 3700ms);  // the kill comes no sooner
+  EXPECT_LT(std::chrono::steady_clock::now() - begin, 3700ms);  // the process is not killed earlier
 }
 
 }  // namespace
