--- a/src/sidecar/admin.cpp
+++ b/src/sidecar/admin.cpp
@@ -21,12 +21,12 @@
 // Delay before the next accept after a failed one. Without it, the loop would spin while the process is out
 // of descriptors.
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(50);
-constexpr std::size_t kMaxBodyBytes = std::size_t{4} * 1024;
+constexpr std::size_t kMaxAdminBodyBytes = std::size_t{4} * 1024;
 constexpr double kMaxTransitionSeconds = 86'400;  // a day
-constexpr std::size_t kMaxHeaderBytes = std::size_t{8} * 1024;
+constexpr std::size_t kMaxAdminHeaderBytes = std::size_t{8} * 1024;
 
 HttpResponse NotAllowed(const char* method) {
-  HttpResponse response = Plain(http::status::method_not_allowed, "wrong method\n");
+  HttpResponse response = TextResponse(http::status::method_not_allowed, "wrong method\n");
   response.set(http::field::allow, method);
   return response;
 }
@@ -34,22 +34,22 @@
 HttpResponse ResponseTo(Admin::OrderResult result) {
   switch (result) {
     case Admin::OrderResult::kDone:
-      return Plain(http::status::ok, "done\n");
+      return TextResponse(http::status::ok, "done\n");
     case Admin::OrderResult::kUnknown:
-      return Plain(http::status::not_found, "never listed\n");
+      return TextResponse(http::status::not_found, "never listed\n");
     case Admin::OrderResult::kNoServerElsewhere:
-      return Plain(http::status::conflict, "no server would be left elsewhere\n");
+      return TextResponse(http::status::conflict, "no server would be left elsewhere\n");
     case Admin::OrderResult::kNotStored:
       break;
   }
-  return Plain(http::status::internal_server_error, "cannot be kept in $TMPDIR\n");
+  return TextResponse(http::status::internal_server_error, "cannot be kept in $TMPDIR\n");
 }
 
 HttpResponse HandleServerOrder(const std::string& body,
                                const std::function<Admin::OrderResult(const std::string&)>& apply_order) {
   const auto json = nlohmann::json::parse(body, nullptr, /*allow_exceptions=*/false);
   if (!json.is_object() || !json.contains("who") || !json.at("who").is_string())
-    return Plain(http::status::bad_request, "want {\"who\":\"ID\"}\n");
+    return TextResponse(http::status::bad_request, "want {\"who\":\"ID\"}\n");
   return ResponseTo(apply_order(json.at("who").get<std::string>()));
 }
 
@@ -59,7 +59,8 @@
   const bool valid = has_zone && (!json.contains("over_s") || json.at("over_s").is_number());
   const double seconds = valid ? json.value("over_s", 0.0) : -1;
   if (!(seconds >= 0 && seconds <= kMaxTransitionSeconds))
-    return Plain(http::status::bad_request, "want {\"zone\":\"NAME\",\"over_s\":SECONDS}, a day at most\n");
+    return TextResponse(http::status::bad_request,
+                        "want {\"zone\":\"NAME\",\"over_s\":SECONDS}, a day at most\n");
   return ResponseTo(
       events.order_zone(json.at("zone").get<std::string>(), drains, static_cast<Micros>(seconds * 1e6)));
 }
@@ -70,8 +71,8 @@
  public:
   Connection(Admin& owner, Tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), deadline_(owner.io_) {
-    parser_.header_limit(kMaxHeaderBytes);
-    parser_.body_limit(kMaxBodyBytes);
+    parser_.header_limit(kMaxAdminHeaderBytes);
+    parser_.body_limit(kMaxAdminBodyBytes);
   }
 
   void Start() {
@@ -118,14 +119,15 @@
 
   void Reject(ErrorCode error) {
     if (owner_ == nullptr) return;
-    if (error == http::error::body_limit) return Write(Plain(http::status::payload_too_large, "too large\n"));
+    if (error == http::error::body_limit)
+      return Write(TextResponse(http::status::payload_too_large, "too large\n"));
     if (error == http::error::header_limit || error == http::error::buffer_overflow)
-      return Write(Plain(http::status::request_header_fields_too_large, "header too large\n"));
+      return Write(TextResponse(http::status::request_header_fields_too_large, "header too large\n"));
     // Any other error than malformed HTTP concerns the connection itself, so no response can be sent.
     if (error.category() != make_error_code(http::error::bad_method).category() ||
         error == http::error::end_of_stream || error == http::error::partial_message)
       return Close();
-    Write(Plain(http::status::bad_request, "malformed request\n"));
+    Write(TextResponse(http::status::bad_request, "malformed request\n"));
   }
 
   void Write(HttpResponse response) {
@@ -154,7 +156,7 @@
   Admin* owner_;  // null once the connection is closed
   Tcp::socket socket_;
   asio::steady_timer deadline_;
-  beast::flat_buffer buffer_{kMaxHeaderBytes + kMaxBodyBytes};
+  beast::flat_buffer buffer_{kMaxAdminHeaderBytes + kMaxAdminBodyBytes};
   http::request_parser<http::string_body> parser_;
   HttpResponse response_;
   std::array<char, 512> discarded_{};
@@ -195,12 +197,12 @@
   const std::string_view path = target.substr(0, target.find('?'));
   if (path == kReadyPath) {
     if (request.method() != http::verb::get) return NotAllowed("GET");
-    return events_.ready() ? Plain(http::status::ok, "ready\n")
-                           : Plain(http::status::service_unavailable, "not yet\n");
+    return events_.ready() ? TextResponse(http::status::ok, "ready\n")
+                           : TextResponse(http::status::service_unavailable, "not yet\n");
   }
   if (path == "/metrics") {
     if (request.method() != http::verb::get) return NotAllowed("GET");
-    return Plain(http::status::ok, events_.metrics());
+    return TextResponse(http::status::ok, events_.metrics());
   }
   if (path == "/servers/disable" || path == "/servers/enable") {
     if (request.method() != http::verb::post) return NotAllowed("POST");
@@ -210,7 +212,7 @@
     if (request.method() != http::verb::post) return NotAllowed("POST");
     return HandleZoneOrder(request.body(), path == "/zones/drain", events_);
   }
-  return Plain(http::status::not_found, "no such call\n");
+  return TextResponse(http::status::not_found, "no such call\n");
 }
 
 }  // namespace violetwing::sidecar
--- a/src/sidecar/body.cpp
+++ b/src/sidecar/body.cpp
@@ -14,15 +14,15 @@
 
 }  // namespace
 
-std::shared_ptr<Body> Body::Whole(std::string text) {
-  auto body = std::make_shared<Body>(std::make_shared<Budget>(0));
+std::shared_ptr<Body> Body::FromString(std::string text) {
+  auto body = std::make_shared<Body>(std::make_shared<BufferBudget>(0));
   body->data_ = std::move(text);
   body->ended_ = true;
   return body;
 }
 
-bool Body::HasRoom() const {
-  return held_ && !budget_->spent() ? data_.size() <= kMostHeld : data_.size() < kPiece;
+bool Body::HasCapacity() const {
+  return held_ && !budget_->exhausted() ? data_.size() <= kMaxBufferedBodyBytes : data_.size() < kBlockBytes;
 }
 
 void Body::Append(std::string_view piece) {
@@ -34,44 +34,44 @@
 
 void Body::End() {
   ended_ = true;
-  if (on_end) std::exchange(on_end, nullptr)();
+  if (on_complete) std::exchange(on_complete, nullptr)();
   if (on_data) on_data();
 }
 
-void Body::Break() {
-  if (ended_ || std::exchange(broken_, true)) return;
+void Body::Fail() {
+  if (ended_ || std::exchange(failed_, true)) return;
   if (on_data) on_data();
 }
 
 // What is taken from the system counts, and not what is in use of it.
 void Body::Book() {
-  budget_->Give(std::exchange(booked_, data_.capacity()));
-  budget_->Take(booked_);
+  budget_->Release(std::exchange(booked_, data_.capacity()));
+  budget_->Reserve(booked_);
 }
 
-std::string_view Body::From(std::uint64_t position) const {
+std::string_view Body::DataFrom(std::uint64_t position) const {
   return std::string_view(data_).substr(static_cast<std::size_t>(position - dropped_));
 }
 
 // What is held is dropped only when there is no other way to go on.
-void Body::Taken(std::uint64_t position) {
+void Body::ConsumeUpTo(std::uint64_t position) {
   if (held_ && (ended_ || position < size())) return;
-  if (held_ && HasRoom()) {  // its reader may have stopped while the budget was spent
-    if (on_room) on_room();
+  if (held_ && HasCapacity()) {  // its reader may have stopped while the budget was spent
+    if (on_capacity) on_capacity();
     return;
   }
   const bool first = std::exchange(held_, false) || dropped_ == 0;
   const auto taken = static_cast<std::size_t>(position - dropped_);
   if (taken == 0) return;
   data_.erase(0, taken);
-  if (data_.empty() && data_.capacity() > 2 * kPiece) data_.shrink_to_fit();
+  if (data_.empty() && data_.capacity() > 2 * kBlockBytes) data_.shrink_to_fit();
   dropped_ = position;
   Book();
-  if (first && on_dropped) std::exchange(on_dropped, nullptr)();
-  if (HasRoom() && on_room) on_room();
+  if (first && on_discarded) std::exchange(on_discarded, nullptr)();
+  if (HasCapacity() && on_capacity) on_capacity();
 }
 
-void Body::Release() { held_ = false; }
+void Body::DisableReplay() { held_ = false; }
 
 void Body::Abandon() {
   if (std::exchange(abandoned_, true)) return;
@@ -103,13 +103,13 @@
 // Writes what there is: one piece at most, so that the rest can wait where it is counted.
 void MessageWriter::Next() {
   if (writing_ || !done_ || last_) return;
-  if (body_->broken()) {
+  if (body_->failed()) {
     // Later: a body may break, and its writer be told, in the middle of what its reader does.
     asio::post(socket_.get_executor(),
                [kept = owner_.lock(), done = std::move(done_)] { done(asio::error::connection_aborted); });
     return Stop();
   }
-  const std::string_view piece = body_->From(position_).substr(0, kPiece);
+  const std::string_view piece = body_->DataFrom(position_).substr(0, kBlockBytes);
   if (!piece.empty()) {
     if (chunked_) {
       char size[20];
@@ -131,7 +131,7 @@
   });
   asio::async_write(socket_, asio::buffer(out_),
                     [this, kept = owner_.lock()](ErrorCode error, std::size_t) { OnWritten(error); });
-  if (!piece.empty()) body_->Taken(position_);  // it is in `out_`
+  if (!piece.empty()) body_->ConsumeUpTo(position_);  // it is in `out_`
 }
 
 void MessageWriter::OnWritten(ErrorCode error) {
--- a/src/sidecar/body.hpp
+++ b/src/sidecar/body.hpp
@@ -20,12 +20,12 @@
 namespace violetwing::sidecar {
 
 // What all bodies of the process may hold together. Each may hold one piece even when it is spent.
-class Budget {
+class BufferBudget {
  public:
-  explicit Budget(std::size_t bytes) : left_(static_cast<std::ptrdiff_t>(bytes)) {}
-  bool spent() const { return left_ <= 0; }
-  void Take(std::size_t bytes) { left_ -= static_cast<std::ptrdiff_t>(bytes); }
-  void Give(std::size_t bytes) { left_ += static_cast<std::ptrdiff_t>(bytes); }
+  explicit BufferBudget(std::size_t bytes) : left_(static_cast<std::ptrdiff_t>(bytes)) {}
+  bool exhausted() const { return left_ <= 0; }
+  void Reserve(std::size_t bytes) { left_ -= static_cast<std::ptrdiff_t>(bytes); }
+  void Release(std::size_t bytes) { left_ += static_cast<std::ptrdiff_t>(bytes); }
 
  private:
   std::ptrdiff_t left_;
@@ -35,48 +35,48 @@
 // the other waiting for longer than it takes. While it is held, all of it can be written once more.
 class Body {
  public:
-  explicit Body(std::shared_ptr<Budget> budget) : budget_(std::move(budget)) {}
-  ~Body() { budget_->Give(booked_); }
+  explicit Body(std::shared_ptr<BufferBudget> budget) : budget_(std::move(budget)) {}
+  ~Body() { budget_->Release(booked_); }
   Body(const Body&) = delete;
   Body& operator=(const Body&) = delete;
 
-  static std::shared_ptr<Body> Whole(std::string text);
+  static std::shared_ptr<Body> FromString(std::string text);
 
   // The reader's side.
-  bool HasRoom() const;
+  bool HasCapacity() const;
   void Append(std::string_view piece);
   void End();
-  void Break();  // the rest will not come
+  void Fail();  // the rest will not come
 
   // The writer's side.
-  std::string_view From(std::uint64_t position) const;
-  void Taken(std::uint64_t position);
-  void Release();  // nobody will write it once more: what is taken is dropped
-  void Abandon();  // nobody will take the rest
+  std::string_view DataFrom(std::uint64_t position) const;
+  void ConsumeUpTo(std::uint64_t position);
+  void DisableReplay();  // nobody will write it once more: what is taken is dropped
+  void Abandon();        // nobody will take the rest
 
   bool ended() const { return ended_; }
-  bool broken() const { return broken_; }
-  bool complete() const { return dropped_ == 0; }                 // nothing is gone of what has come
+  bool failed() const { return failed_; }
+  bool replayable() const { return dropped_ == 0; }               // nothing is gone of what has come
   std::uint64_t size() const { return dropped_ + data_.size(); }  // so far
 
   std::optional<std::uint64_t> length;  // as announced
 
-  std::function<void()> on_room;       // the reader may append again
+  std::function<void()> on_capacity;   // the reader may append again
   std::function<void()> on_abandoned;  // the reader need not
   std::function<void()> on_data;       // there is more to write, or the end
-  std::function<void()> on_dropped;    // its first bytes are gone
-  std::function<void()> on_end;        // it has come whole
+  std::function<void()> on_discarded;  // its first bytes are gone
+  std::function<void()> on_complete;   // it has come whole
 
  private:
   void Book();
 
-  const std::shared_ptr<Budget> budget_;
+  const std::shared_ptr<BufferBudget> budget_;
   std::string data_;
   std::size_t booked_ = 0;  // of the budget
   std::uint64_t dropped_ = 0;
   bool held_ = true;
   bool ended_ = false;
-  bool broken_ = false;
+  bool failed_ = false;
   bool abandoned_ = false;
 };
 
@@ -84,7 +84,7 @@
 
 // For the HTTP library's parsers: what they decode is taken away after each turn, so that it stays as short
 // as what was read. Its own string body would reserve what a header announces.
-struct PieceBody {
+struct IncrementalBody {
   using value_type = std::string;
   class reader {
    public:
--- a/src/sidecar/discovery.cpp
+++ b/src/sidecar/discovery.cpp
@@ -260,7 +260,7 @@
   Discovery* owner_;  // null once the watch has ended
   Tcp::socket socket_;
   asio::steady_timer silence_timer_;
-  beast::flat_buffer buffer_{kMostUnparsed};
+  beast::flat_buffer buffer_{kMaxUnparsedBytes};
   http::request<http::empty_body> request_;
   http::response_parser<http::buffer_body> parser_;
   std::array<char, kReadSize> read_data_{};
--- a/src/sidecar/drain.cpp
+++ b/src/sidecar/drain.cpp
@@ -41,7 +41,7 @@
   return std::chrono::duration_cast<std::chrono::microseconds>(passed).count();
 }
 
-Micros Drain::Left() const { return std::max<Micros>(hurry_after_ - Passed(), 0); }
+Micros Drain::TimeUntilForcedResponses() const { return std::max<Micros>(hurry_after_ - Passed(), 0); }
 
 void Drain::Enter(State state) {
   state_ = state;
@@ -53,7 +53,7 @@
       if (!passes_listener_) return EnterAt(kAcceptFor, State::kSettling);
       // The clients that wait are the next process's. Those that are here go there with the answer that
       // closes their connection; one that is closed between requests may cross one, so few are, and late.
-      steps_.leave_queue();
+      steps_.close_listener();
       return EnterAt(hurry_after_ / 2, State::kFinishing);
     case State::kSettling:
       steps_.stop_accepting();
@@ -62,7 +62,7 @@
       steps_.close_idle();
       return FinishIfDone();
     case State::kHurrying:
-      steps_.hurry();
+      steps_.fail_requests();
       return FinishIfDone();
   }
 }
@@ -74,7 +74,7 @@
   });
 }
 
-void Drain::OnSettled() {
+void Drain::OnRequestFinished() {
   if (state_ == State::kFinishing || state_ == State::kHurrying) FinishIfDone();
 }
 
@@ -87,7 +87,7 @@
     timer_.cancel();
     return std::exchange(finished_, nullptr)();
   }
-  if (state_ == State::kFinishing && (holds_requests || Left() <= kPoll))
+  if (state_ == State::kFinishing && (holds_requests || TimeUntilForcedResponses() <= kPoll))
     return EnterAt(hurry_after_, State::kHurrying);
   timer_.expires_after(std::chrono::microseconds(kPoll));
   timer_.async_wait([this](ErrorCode error) {
--- a/src/sidecar/drain.hpp
+++ b/src/sidecar/drain.hpp
@@ -25,9 +25,9 @@
  public:
   struct Steps {
     std::function<void()> stop_accepting;  // what has connected is taken first
-    std::function<void()> leave_queue;     // accept no more: another process has the listener too
+    std::function<void()> close_listener;  // accept no more: another process has the listener too
     std::function<void()> close_idle;
-    std::function<void()> hurry;  // each request that is held gets an answer now
+    std::function<void()> fail_requests;  // each request that is held gets an answer now
     std::function<bool()> holds_requests;
     std::function<bool()> holds_connections;
   };
@@ -40,9 +40,9 @@
   void Begin(Steps steps, std::function<void()> finished);
   bool begun() const { return state_ != State::kServing; }
   // When the requests that are still held are to be answered: in how long.
-  Micros Left() const;
+  Micros TimeUntilForcedResponses() const;
   // A request is over: it may have been the last.
-  void OnSettled();
+  void OnRequestFinished();
 
  private:
   enum class State { kServing, kAccepting, kSettling, kFinishing, kHurrying, kOver };
--- a/src/sidecar/inbound.cpp
+++ b/src/sidecar/inbound.cpp
@@ -41,16 +41,16 @@
 struct Incoming {
   // Not eager: an eager parser forgets that the head announced too long a body when bytes of it came along.
   Incoming() {
-    parser.header_limit(kMostHeader);
-    parser.body_limit(kMostBody);
+    parser.header_limit(kMaxHeaderBytes);
+    parser.body_limit(kMaxBodyBytes);
   }
 
-  http::request_parser<PieceBody> parser;
+  http::request_parser<IncrementalBody> parser;
   bool begun = false;
   Clock::time_point since = Clock::now();  // its time counts from then
 };
 
-RequestHead HeadOf(http::request<PieceBody>& request) {
+RequestHead HeadOf(http::request<IncrementalBody>& request) {
   RequestHead head;
   head.base() = std::move(request.base());
   return head;
@@ -97,7 +97,7 @@
     StopClock();
     done_ = std::move(done);
     answer_ = std::move(body);
-    answer_->Release();
+    answer_->DisableReplay();
     if (answer_->ended()) answer_->length = answer_->length.value_or(answer_->size());
     keep_alive_ = keep_alive_ && !owner_.draining_ && (body_ == nullptr || body_->ended());
     // Without a length only chunks show an HTTP/1.1 client where the body ends, and the close an older one.
@@ -107,11 +107,11 @@
     head.keep_alive(keep_alive_);
     if (answer_->length) head.content_length(*answer_->length);
     if (chunked) head.chunked(true);
-    std::string text = Text(head);
+    std::string text = SerializeHead(head);
     BodyPtr written = answer_;
     if (head_only_) {
       answer_->Abandon();
-      written = Body::Whole("");
+      written = Body::FromString("");
     }
     writer_.Start(shared_from_this(), std::move(text), std::move(written), chunked && !head_only_,
                   [self = shared_from_this()](ErrorCode error) { self->OnWritten(error); });
@@ -180,19 +180,19 @@
     const auto self = shared_from_this();
     const bool busy = state_ == State::kBusy;
     Close();
-    if (busy) owner_.events_.on_gone(self);
-    if (body_ != nullptr) body_->Break();
+    if (busy) owner_.events_.on_client_disconnected(self);
+    if (body_ != nullptr) body_->Fail();
   }
 
   // Whether more of the request's body is to come.
-  bool BodyComes() const { return body_ != nullptr && !body_->ended() && !body_->broken(); }
+  bool BodyComes() const { return body_ != nullptr && !body_->ended() && !body_->failed(); }
 
   // Stays posted while a request is held, so that a client that leaves is noticed. Stops only when a client
   // that does not wait for its answers has filled the buffer, or when a long body waits for room.
   void Read() {
     if (reading_ || state_ == State::kClosed) return;
     if (buffer_.size() + kReadSize > buffer_.max_size()) return LookOut();
-    if (state_ != State::kLingering && BodyComes() && !body_->HasRoom()) {
+    if (state_ != State::kLingering && BodyComes() && !body_->HasCapacity()) {
       Pause();
       return LookOut();
     }
@@ -293,7 +293,7 @@
   void Parse() {
     const auto kept = shared_from_this();
     while (buffer_.size() > 0 && !parser_->parser.is_done()) {
-      if (BodyComes() && !body_->HasRoom()) return;
+      if (BodyComes() && !body_->HasCapacity()) return;
       ErrorCode error;
       if (!std::exchange(parser_->begun, true) && heard_) {
         parser_->since = Clock::now();
@@ -329,7 +329,7 @@
     }
     const std::weak_ptr<Session> weak = shared_from_this();
     // Later: who takes it may be in the middle of what it does with this session.
-    body_->on_room = [weak] {
+    body_->on_capacity = [weak] {
       if (const auto self = weak.lock()) asio::post(self->owner_.io_, [self] { self->OnRoom(); });
     };
     if (parser_->parser.is_done()) return true;
@@ -364,7 +364,7 @@
     } else {
       ExpectMore();
     }
-    if (state_ == State::kReading && (done || !body_->HasRoom())) Dispatch();
+    if (state_ == State::kReading && (done || !body_->HasCapacity())) Dispatch();
   }
 
   void Reject(ErrorCode error) {
@@ -378,7 +378,7 @@
     if (state_ == State::kBusy) return Leave();  // its request is under way
     state_ = State::kBusy;
     keep_alive_ = false;
-    Inbound::Respond(shared_from_this(), Plain(status, text));
+    Inbound::Respond(shared_from_this(), TextResponse(status, text));
   }
 
   void Dispatch() {
@@ -387,8 +387,8 @@
       state_ = State::kBusy;
       const bool ready = !owner_.draining_ && owner_.events_.ready();
       return Inbound::Respond(shared_from_this(),
-                              Plain(ready ? http::status::ok : http::status::service_unavailable,
-                                    ready ? "ready\n" : "not yet\n"));
+                              TextResponse(ready ? http::status::ok : http::status::service_unavailable,
+                                           ready ? "ready\n" : "not yet\n"));
     }
     // Its close may lie behind what was read: of one that waited in the listener's queue, or while this
     // process stood still, both came at the same time.
@@ -423,7 +423,7 @@
 
   void LingerAndClose() {
     state_ = State::kLingering;
-    if (body_ != nullptr) body_->Break();  // the rest of it is not passed on
+    if (body_ != nullptr) body_->Fail();  // the rest of it is not passed on
     ErrorCode error;
     socket_.shutdown(Tcp::socket::shutdown_send, error);
     if (error) return Close();
@@ -437,7 +437,7 @@
   asio::steady_timer deadline_;          // of what the state waits for from the peer
   asio::steady_timer look_out_;          // for its close, while nothing is read
   std::array<char, kReadSize> input_{};  // of its own: the buffer may move what it holds while a read is out
-  beast::flat_buffer buffer_{2 * kMostUnparsed};
+  beast::flat_buffer buffer_{2 * kMaxUnparsedBytes};
   std::uint64_t read_ = 0;      // bytes so far
   std::deque<ReadAt> waiting_;  // when those came that are in the buffer behind other requests
   std::optional<Incoming> parser_;
@@ -457,7 +457,7 @@
 };
 
 Inbound::Inbound(asio::io_context& io, Tcp::acceptor listener, std::size_t most_sessions,
-                 std::shared_ptr<Budget> budget, Events events)
+                 std::shared_ptr<BufferBudget> budget, Events events)
     : io_(io),
       most_sessions_(most_sessions),
       budget_(std::move(budget)),
@@ -478,7 +478,7 @@
 void Inbound::Respond(const SessionPtr& session, HttpResponse response) {
   ResponseHead head;
   head.base() = std::move(response.base());
-  Respond(session, std::move(head), Body::Whole(std::move(response.body())), {});
+  Respond(session, std::move(head), Body::FromString(std::move(response.body())), {});
 }
 
 void Inbound::Accept() {
@@ -549,7 +549,7 @@
   if (sessions_.size() >= most_sessions_) Accept();
 }
 
-void Inbound::CloseAfterAnswers() { draining_ = true; }
+void Inbound::CloseAfterResponses() { draining_ = true; }
 
 void Inbound::StopAccepting() {
   // What has connected may have sent its request: closing the listener on it would reset it unanswered.
@@ -561,12 +561,12 @@
     acceptor_.accept(socket, error);
     if (!error) Add(std::move(socket));
   }
-  if (!acceptor_.is_open() || error == asio::error::would_block) return LeaveQueue();
+  if (!acceptor_.is_open() || error == asio::error::would_block) return CloseListener();
   AcceptLater();
 }
 
 // Never shut down: that would end the listener for all that hold it.
-void Inbound::LeaveQueue() {
+void Inbound::CloseListener() {
   pause_.cancel();
   short_of_descriptors_ = false;
   ErrorCode ignored;
--- a/src/sidecar/inbound.hpp
+++ b/src/sidecar/inbound.hpp
@@ -23,13 +23,13 @@
     // The request is answered by one call of Respond, from in here or later. A long body is still coming. One
     // that came behind others has waited so long for them since its last byte.
     std::function<void(const SessionPtr&, RequestHead, BodyPtr, Micros waited)> on_request;
-    std::function<void(const SessionPtr&)> on_gone;  // the client left during its request
+    std::function<void(const SessionPtr&)> on_client_disconnected;  // the client left during its request
     std::function<bool()> ready;
   };
 
   // Takes over a listener, and accepts once it is told to.
   Inbound(asio::io_context& io, Tcp::acceptor listener, std::size_t most_sessions,
-          std::shared_ptr<Budget> budget, Events events);
+          std::shared_ptr<BufferBudget> budget, Events events);
   ~Inbound();
   Inbound(const Inbound&) = delete;
   Inbound& operator=(const Inbound&) = delete;
@@ -42,11 +42,11 @@
 
   void Accept();
   // From now on each answer closes its connection.
-  void CloseAfterAnswers();
+  void CloseAfterResponses();
   // Accepts what has connected already, then no more; as descriptors come free, if there are too few.
   void StopAccepting();
   // Accepts no more: the queue is another process's, which has the same listener.
-  void LeaveQueue();
+  void CloseListener();
   // Closes the connections that are between requests.
   void CloseIdle();
 
@@ -65,7 +65,7 @@
 
   asio::io_context& io_;
   const std::size_t most_sessions_;
-  const std::shared_ptr<Budget> budget_;
+  const std::shared_ptr<BufferBudget> budget_;
   const Events events_;
   Tcp::acceptor acceptor_;
   Tcp::endpoint address_;
--- a/src/sidecar/protocol.hpp
+++ b/src/sidecar/protocol.hpp
@@ -27,19 +27,20 @@
 using ResponseHead = http::response<http::empty_body>;
 using HttpResponse = http::response<http::string_body>;
 
-inline constexpr std::size_t kMostBody = std::size_t{32} * 1024 * 1024;
-inline constexpr std::size_t kMostHeld = std::size_t{64} * 1024;  // a longer body is passed on as it comes
-inline constexpr std::size_t kPiece = std::size_t{16} * 1024;
-inline constexpr std::size_t kMostHeader = std::size_t{16} * 1024;
-inline constexpr std::size_t kReadSize = kPiece / 2;
+inline constexpr std::size_t kMaxBodyBytes = std::size_t{32} * 1024 * 1024;
+inline constexpr std::size_t kMaxBufferedBodyBytes =
+    std::size_t{64} * 1024;  // a longer body is passed on as it comes
+inline constexpr std::size_t kBlockBytes = std::size_t{16} * 1024;
+inline constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
+inline constexpr std::size_t kReadSize = kBlockBytes / 2;
 // What a connection holds unparsed: one header and one read.
-inline constexpr std::size_t kMostUnparsed = kMostHeader + kReadSize;
+inline constexpr std::size_t kMaxUnparsedBytes = kMaxHeaderBytes + kReadSize;
 
 inline constexpr const char* kIdHeader = "Req-Id";
 inline constexpr const char* kClassHeader = "Req-Kind";
 inline constexpr const char* kTenantHeader = "Req-Owner";
 inline constexpr const char* kDeadlineHeader = "Req-Deadline";
-inline constexpr const char* kRepeatHeader = "Req-Retry";
+inline constexpr const char* kRetryHeader = "Req-Retry";
 inline constexpr const char* kCostHeader = "Req-Cost";
 inline constexpr const char* kDeclinedHeader = "Srv-Declined";
 inline constexpr const char* kKeyParameter = "obj";
@@ -48,14 +49,14 @@
 inline constexpr Micros kSecond = 1'000'000;
 
 // As the protocol's times are written.
-inline std::string InSeconds(Micros time) {
+inline std::string FormatSeconds(Micros time) {
   char text[32];
   std::snprintf(text, sizeof text, "%.3f", static_cast<double>(time) / static_cast<double>(kSecond));
   return text;
 }
 
 // An answer of the sidecar's own.
-inline HttpResponse Plain(http::status status, std::string text) {
+inline HttpResponse TextResponse(http::status status, std::string text) {
   HttpResponse response(status, 11);
   response.set(http::field::content_type, "text/plain");
   response.body() = std::move(text);
@@ -64,7 +65,7 @@
 
 // A head as it is written.
 template <bool kIsRequest>
-std::string Text(http::message<kIsRequest, http::empty_body>& head) {
+std::string SerializeHead(http::message<kIsRequest, http::empty_body>& head) {
   http::serializer<kIsRequest, http::empty_body> serializer(head);
   serializer.split(true);
   std::string text;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -76,9 +76,9 @@
   return {free / 2, free / 5};
 }
 
-std::shared_ptr<Budget> BodyBudget(const Config& config) {
+std::shared_ptr<BufferBudget> BodyBudget(const Config& config) {
   const std::size_t share = config.passed_socket ? 2 * kBudgetShare : kBudgetShare;
-  return std::make_shared<Budget>(config.memory_mb * 1024 * 1024 / share);
+  return std::make_shared<BufferBudget>(config.memory_mb * 1024 * 1024 / share);
 }
 
 Upstream::Limits UpstreamLimits(const Config& config) {
@@ -136,7 +136,7 @@
   Inbound::Events events;
   events.on_request = [this](const Inbound::SessionPtr& session, RequestHead head, const BodyPtr& body,
                              Micros waited) { OnRequest(session, std::move(head), body, waited); };
-  events.on_gone = [this](const Inbound::SessionPtr& session) { OnClientGone(session); };
+  events.on_client_disconnected = [this](const Inbound::SessionPtr& session) { OnClientGone(session); };
   events.ready = [this] { return Ready(); };
   inbound_ = std::make_unique<Inbound>(io_, Listener(), DescriptorShares(config_).clients, budget_, events);
   if (config_.admin) {
@@ -246,22 +246,22 @@
   const Settings& settings = config_.wire.settings;
   const std::string id(View(head[kIdHeader]));
   const int request_class = ClassIndex(View(head[kClassHeader]));
-  if (id.empty()) return Inbound::Respond(session, Plain(http::status::bad_request, "no Req-Id\n"));
+  if (id.empty()) return Inbound::Respond(session, TextResponse(http::status::bad_request, "no Req-Id\n"));
   if (request_class < 0)
-    return Inbound::Respond(session, Plain(http::status::not_found, "unknown Req-Kind\n"));
+    return Inbound::Respond(session, TextResponse(http::status::not_found, "unknown Req-Kind\n"));
   if (calls_.count(id) > 0)
-    return Inbound::Respond(session, Plain(http::status::conflict, "Req-Id is in use\n"));
+    return Inbound::Respond(session, TextResponse(http::status::conflict, "Req-Id is in use\n"));
   Micros budget = settings.classes[static_cast<std::size_t>(request_class)].deadline;
   if (head.count(kDeadlineHeader) > 0) {
     const auto seconds = ParseNumber(View(head[kDeadlineHeader]));
     if (!seconds || *seconds < 0)
-      return Inbound::Respond(session, Plain(http::status::bad_request, "Req-Deadline\n"));
+      return Inbound::Respond(session, TextResponse(http::status::bad_request, "Req-Deadline\n"));
     budget = static_cast<Micros>(std::min(*seconds, 86'400.0) * static_cast<double>(kSecond));
   }
   const Micros now = NowToDecide();
   budget -= std::min(kAnswerMargin, static_cast<Micros>(kMostMarginShare * static_cast<double>(budget)));
   budget = std::max<Micros>(budget - waited, 0);
-  if (drain_.begun()) budget = std::min(budget, drain_.Left());
+  if (drain_.begun()) budget = std::min(budget, drain_.TimeUntilForcedResponses());
 
   Call& call = calls_[id];
   metrics_.RequestReceived();
@@ -281,7 +281,7 @@
   in.tenant = TenantIndex(View(call.head[kTenantHeader]));
   in.budget = budget;
   in.body_incomplete = !body->ended();
-  in.is_retry = call.head[kRepeatHeader] == "1";
+  in.is_retry = call.head[kRetryHeader] == "1";
   in.write = call.head.method() != http::verb::get;
   if (const auto cost = ParseNumber(View(call.head[kCostHeader])); cost && *cost >= 0 && *cost < 1e12)
     in.cost = static_cast<Micros>(*cost);
@@ -293,10 +293,10 @@
 
 // What a body tells may come in the middle of an action of the module's, which must not be called then.
 void Sidecar::FollowBody(const std::string& id, Body& body) {
-  body.on_dropped = [this, id] {
+  body.on_discarded = [this, id] {
     asio::post(io_, [this, id] { balancer_->OnRequestBodyDiscarded(NowToDecide(), id); });
   };
-  body.on_end = [this, id] { asio::post(io_, [this, id] { OnRequestEnded(id); }); };
+  body.on_complete = [this, id] { asio::post(io_, [this, id] { OnRequestEnded(id); }); };
 }
 
 // The last byte of a long request has come: its time begins.
@@ -306,7 +306,7 @@
   if (it == calls_.end() || it->second.session == nullptr) return;
   Call& call = it->second;
   call.deadline = now + call.budget;
-  if (drain_.begun()) call.deadline = std::min(call.deadline, now + drain_.Left());
+  if (drain_.begun()) call.deadline = std::min(call.deadline, now + drain_.TimeUntilForcedResponses());
   for (Attempt& attempt : call.attempts) {
     attempt.sent = now;
     attempt.expires = call.deadline;
@@ -371,7 +371,7 @@
 void Sidecar::Answer(Call& call, HttpResponse response) {
   ResponseHead head;
   head.base() = std::move(response.base());
-  Answer(call, std::move(head), Body::Whole(std::move(response.body())));
+  Answer(call, std::move(head), Body::FromString(std::move(response.body())));
 }
 
 void Sidecar::Answer(Call& call, ResponseHead head, BodyPtr body) {
@@ -409,7 +409,7 @@
   }
   if (now >= it->second.deadline && it->second.session != nullptr) {
     // The module ends requests before this. Guards against a client that gets no answer should it not.
-    Answer(it->second, Plain(http::status::gateway_timeout, "out of time\n"));
+    Answer(it->second, TextResponse(http::status::gateway_timeout, "out of time\n"));
     balancer_->OnClientDisconnected(now, id);
     return EraseIfOver(id);
   }
@@ -420,7 +420,7 @@
   const auto it = calls_.find(id);
   if (it == calls_.end() || it->second.session != nullptr || it->second.AnyOut()) return;
   calls_.erase(it);
-  if (calls_.empty()) drain_.OnSettled();
+  if (calls_.empty()) drain_.OnRequestFinished();
 }
 
 RequestHead Sidecar::Forwarded(const Call& call) {
@@ -461,7 +461,7 @@
   attempt.sent = now;
   attempt.expires = timeout > 0 ? std::min(call.deadline, now + timeout) : call.deadline;
   // A body that is gone in part cannot be sent once more; the module has been told so.
-  if (call.session == nullptr || now >= attempt.expires || !call.body->complete()) {
+  if (call.session == nullptr || now >= attempt.expires || !call.body->replayable()) {
     call.attempts.push_back(attempt);
     asio::post(io_, [this, id, number] { Conclude(id, number, Result::kNeverSent); });
     return;
@@ -490,8 +490,8 @@
 void Sidecar::Reject(std::string_view request, Micros retry_after) {
   const auto it = calls_.find(std::string(request));
   if (it == calls_.end() || it->second.session == nullptr) return;
-  HttpResponse response = Plain(http::status::service_unavailable, "refused\n");
-  if (retry_after > 0) response.set(http::field::retry_after, InSeconds(retry_after));
+  HttpResponse response = TextResponse(http::status::service_unavailable, "refused\n");
+  if (retry_after > 0) response.set(http::field::retry_after, FormatSeconds(retry_after));
   Answer(it->second, std::move(response));
   EraseLater(it->first);
 }
@@ -499,7 +499,7 @@
 void Sidecar::Fail(std::string_view request) {
   const auto it = calls_.find(std::string(request));
   if (it == calls_.end() || it->second.session == nullptr) return;
-  Answer(it->second, Plain(http::status::bad_gateway, "failed\n"));
+  Answer(it->second, TextResponse(http::status::bad_gateway, "failed\n"));
   EraseLater(it->first);
 }
 
@@ -533,12 +533,12 @@
 void Sidecar::Drain(std::function<void()> finished) {
   sidecar::Drain::Steps steps;
   steps.stop_accepting = [this] { inbound_->StopAccepting(); };
-  steps.leave_queue = [this] { inbound_->LeaveQueue(); };
+  steps.close_listener = [this] { inbound_->CloseListener(); };
   steps.close_idle = [this] { inbound_->CloseIdle(); };
-  steps.hurry = [this] { HurryCalls(); };
+  steps.fail_requests = [this] { HurryCalls(); };
   steps.holds_requests = [this] { return !calls_.empty(); };
   steps.holds_connections = [this] { return inbound_->holds_connections(); };
-  inbound_->CloseAfterAnswers();
+  inbound_->CloseAfterResponses();
   drain_.Begin(std::move(steps), std::move(finished));
 }
 
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -109,7 +109,7 @@
   asio::io_context& io_;
   const Config config_;
   const Micros clock_offset_;
-  const std::shared_ptr<Budget> budget_;  // of all bodies
+  const std::shared_ptr<BufferBudget> budget_;  // of all bodies
   std::unique_ptr<Balancer> balancer_;
   Metrics metrics_;
   std::unique_ptr<LastList> last_list_;  // null where none is kept
--- a/src/sidecar/upstream.cpp
+++ b/src/sidecar/upstream.cpp
@@ -25,7 +25,7 @@
 // How long a server may pause in an answer that has begun.
 constexpr auto kMostSilence = std::chrono::seconds(6);
 
-using Response = http::response<PieceBody>;
+using Response = http::response<IncrementalBody>;
 
 bool Declined(const Response& response) {
   const bool status = response.result() == http::status::service_unavailable ||
@@ -163,7 +163,7 @@
   // The dial has taken a part of what there was when the attempt was decided.
   void TellWhatIsLeft() {
     const auto left = std::chrono::duration_cast<std::chrono::microseconds>(*job_->expires - Clock::now());
-    job_->head.set(kDeadlineHeader, InSeconds(std::max<Micros>(left.count(), 0)));
+    job_->head.set(kDeadlineHeader, FormatSeconds(std::max<Micros>(left.count(), 0)));
   }
 
   void Write() {
@@ -180,7 +180,7 @@
     // As is usual, a method without a body does not announce that it has none.
     const bool carries = head.method() != http::verb::get && head.method() != http::verb::head;
     if (body.length && (*body.length > 0 || carries)) head.content_length(*body.length);
-    writer_.Start(shared_from_this(), Text(head), job_->body, chunked,
+    writer_.Start(shared_from_this(), SerializeHead(head), job_->body, chunked,
                   [self = shared_from_this()](ErrorCode error) { self->OnWritten(error); });
   }
 
@@ -191,7 +191,7 @@
     // An unfinished request is one that no server begins. That its client stopped sending is no fault of the
     // server's.
     if (error)
-      return Finish(job_->body->broken() ? Result::kCancelled : Result::kUnreachable, /*reuse=*/false);
+      return Finish(job_->body->failed() ? Result::kCancelled : Result::kUnreachable, /*reuse=*/false);
     if (pool_.hooks_.written) pool_.hooks_.written();
     if (broken_) Finish(Result::kReset, /*reuse=*/false);
   }
@@ -200,7 +200,7 @@
   // answer waits for room.
   void Read() {
     if (reading_ || closed_) return;
-    if (answer_ != nullptr && !answer_->HasRoom()) {
+    if (answer_ != nullptr && !answer_->HasCapacity()) {
       if (begun_) timer_.cancel();  // the server is not to blame
       return;
     }
@@ -240,7 +240,7 @@
   // False if it is no HTTP, or what is no success is too long.
   bool Parse() {
     while (buffer_.size() > 0 && !parser_->is_done()) {
-      if (answer_ != nullptr && !answer_->HasRoom()) return true;
+      if (answer_ != nullptr && !answer_->HasCapacity()) return true;
       ErrorCode error;
       const bool had_head = parser_->is_header_done();
       const std::size_t used = parser_->put(buffer_.data(), error);
@@ -270,8 +270,8 @@
   // along with it, and then takes in as much as the server sends.
   void RenewParser() {
     parser_.emplace();
-    parser_->header_limit(kMostHeader);
-    parser_->body_limit(kMostBody);
+    parser_->header_limit(kMaxHeaderBytes);
+    parser_->body_limit(kMaxBodyBytes);
     begun_ = false;
     answer_ = nullptr;
     passed_over_ = 0;
@@ -284,14 +284,14 @@
     if (length) answer_->length = *length;
     const std::weak_ptr<Connection> weak = shared_from_this();
     // Both later: who takes or abandons it may be in the middle of what it does with this connection.
-    answer_->on_room = [weak] {
+    answer_->on_capacity = [weak] {
       if (const auto self = weak.lock()) asio::post(self->pool_.io_, [self] { self->OnRoom(); });
     };
     answer_->on_abandoned = [weak] {
       if (const auto self = weak.lock()) asio::post(self->pool_.io_, [self] { self->OnAbandoned(); });
     };
     if (parser_->is_done()) return;
-    if (answer_->length && *answer_->length > kMostHeld) return Begin();
+    if (answer_->length && *answer_->length > kMaxBufferedBodyBytes) return Begin();
     if (!answer_->length) ExpireAfter(kMostHolding, [this] { Begin(); });
   }
 
@@ -301,10 +301,10 @@
     if (answer_ == nullptr) {
       passed_over_ += piece.size();
       piece.clear();
-      return passed_over_ <= kMostHeld;
+      return passed_over_ <= kMaxBufferedBodyBytes;
     }
     answer_->Append(std::exchange(piece, {}));
-    if (!begun_ && !parser_->is_done() && !answer_->HasRoom()) Begin();
+    if (!begun_ && !parser_->is_done() && !answer_->HasCapacity()) Begin();
     return true;
   }
 
@@ -333,7 +333,7 @@
   }
 
   void DropAnswer() {
-    if (answer_ != nullptr) std::exchange(answer_, nullptr)->Break();
+    if (answer_ != nullptr) std::exchange(answer_, nullptr)->Fail();
   }
 
   // The peer closed or reset the connection. Only a close ends a body that has no other end (RFC 9112, 6.3
@@ -385,8 +385,8 @@
   const std::uint64_t life_;
   Tcp::socket socket_;
   asio::steady_timer timer_;  // of the dial, and then of the answer
-  beast::flat_buffer buffer_{kMostUnparsed};
-  std::optional<http::response_parser<PieceBody>> parser_;
+  beast::flat_buffer buffer_{kMaxUnparsedBytes};
+  std::optional<http::response_parser<IncrementalBody>> parser_;
   std::optional<Job> job_;
   MessageWriter writer_;
   BodyPtr answer_;               // of a success, from its head to its end
@@ -402,7 +402,7 @@
   bool closed_ = false;
 };
 
-Upstream::Upstream(asio::io_context& io, Limits limits, std::shared_ptr<Budget> budget, Hooks hooks)
+Upstream::Upstream(asio::io_context& io, Limits limits, std::shared_ptr<BufferBudget> budget, Hooks hooks)
     : io_(io), limits_(limits), budget_(std::move(budget)), hooks_(std::move(hooks)), sweep_(io) {}
 
 Upstream::~Upstream() {
@@ -461,7 +461,7 @@
   ConnectionPtr connection = TakeIdle(*server);
   const AttemptId attempt = ++last_attempt_;
   const bool runs = order.left > 0 && order.body->ended();
-  if (order.left > 0) order.head.set(kDeadlineHeader, InSeconds(order.left));
+  if (order.left > 0) order.head.set(kDeadlineHeader, FormatSeconds(order.left));
   Connection::Job job{attempt,           std::move(order.head), std::move(order.body),
                       std::move(events), std::nullopt,          std::nullopt};
   if (connection != nullptr) {
--- a/src/sidecar/upstream.hpp
+++ b/src/sidecar/upstream.hpp
@@ -56,8 +56,8 @@
     std::function<void()> before_look;
   };
 
-  Upstream(asio::io_context& io, Limits limits, std::shared_ptr<Budget> budget, Hooks hooks);
-  Upstream(asio::io_context& io, Limits limits, std::shared_ptr<Budget> budget)
+  Upstream(asio::io_context& io, Limits limits, std::shared_ptr<BufferBudget> budget, Hooks hooks);
+  Upstream(asio::io_context& io, Limits limits, std::shared_ptr<BufferBudget> budget)
       : Upstream(io, limits, std::move(budget), Hooks()) {}
   ~Upstream();
   Upstream(const Upstream&) = delete;
@@ -98,7 +98,7 @@
 
   asio::io_context& io_;
   const Limits limits_;
-  const std::shared_ptr<Budget> budget_;
+  const std::shared_ptr<BufferBudget> budget_;
   const Hooks hooks_;
   asio::steady_timer sweep_;
   bool sweeping_ = false;
--- a/tests/sidecar/body_test.cpp
+++ b/tests/sidecar/body_test.cpp
@@ -7,42 +7,42 @@
 namespace {
 
 TEST(Body, HoldsAShortOneAndDropsOfALongOneWhatIsTaken) {
-  const auto budget = std::make_shared<Budget>(1024 * 1024);
+  const auto budget = std::make_shared<BufferBudget>(1024 * 1024);
   Body body(budget);
   int dropped = 0;
-  body.on_dropped = [&] { ++dropped; };
-  while (body.HasRoom()) body.Append(std::string(kPiece, 'x'));
-  EXPECT_GT(body.size(), kMostHeld);
-  body.Taken(kPiece);
-  EXPECT_TRUE(body.complete());  // a new attempt may still begin with the first byte
-  body.Taken(body.size());
+  body.on_discarded = [&] { ++dropped; };
+  while (body.HasCapacity()) body.Append(std::string(kBlockBytes, 'x'));
+  EXPECT_GT(body.size(), kMaxBufferedBodyBytes);
+  body.ConsumeUpTo(kBlockBytes);
+  EXPECT_TRUE(body.replayable());  // a new attempt may still begin with the first byte
+  body.ConsumeUpTo(body.size());
   EXPECT_EQ(dropped, 1);
-  EXPECT_FALSE(body.complete());
-  EXPECT_TRUE(body.HasRoom());
-  body.Append(std::string(kPiece, 'x'));
-  EXPECT_FALSE(body.HasRoom());
+  EXPECT_FALSE(body.replayable());
+  EXPECT_TRUE(body.HasCapacity());
+  body.Append(std::string(kBlockBytes, 'x'));
+  EXPECT_FALSE(body.HasCapacity());
 }
 
 TEST(Body, WakesAReaderThatStoppedWhileTheBudgetWasSpent) {
-  const auto budget = std::make_shared<Budget>(0);
+  const auto budget = std::make_shared<BufferBudget>(0);
   Body body(budget);
   int woken = 0;
-  body.on_room = [&] { ++woken; };
-  body.Append(std::string(kPiece, 'x'));
-  EXPECT_FALSE(body.HasRoom());
-  budget->Give(1024 * 1024);
-  body.Taken(kPiece);
-  EXPECT_TRUE(body.complete());
+  body.on_capacity = [&] { ++woken; };
+  body.Append(std::string(kBlockBytes, 'x'));
+  EXPECT_FALSE(body.HasCapacity());
+  budget->Release(1024 * 1024);
+  body.ConsumeUpTo(kBlockBytes);
+  EXPECT_TRUE(body.replayable());
   EXPECT_EQ(woken, 1);
 }
 
 TEST(Body, GivesBackWhatItHeld) {
-  const auto budget = std::make_shared<Budget>(2 * kPiece);
+  const auto budget = std::make_shared<BufferBudget>(2 * kBlockBytes);
   {
     Body body(budget);
-    while (!budget->spent()) body.Append(std::string(kPiece, 'x'));
+    while (!budget->exhausted()) body.Append(std::string(kBlockBytes, 'x'));
   }
-  EXPECT_FALSE(budget->spent());
+  EXPECT_FALSE(budget->exhausted());
 }
 
 }  // namespace
--- a/tests/sidecar/endings_test.cpp
+++ b/tests/sidecar/endings_test.cpp
@@ -80,11 +80,11 @@
   events.on_request = [&](const Inbound::SessionPtr& session, const RequestHead& head, const BodyPtr&,
                           Micros) {
     taken.emplace_back(head[kIdHeader]);
-    Inbound::Respond(session, Plain(http::status::ok, "ok"));
+    Inbound::Respond(session, TextResponse(http::status::ok, "ok"));
   };
-  events.on_gone = [](const Inbound::SessionPtr&) {};
+  events.on_client_disconnected = [](const Inbound::SessionPtr&) {};
   events.ready = [] { return true; };
-  Inbound inbound(io, Tcp::acceptor(io, Loopback()), 4, std::make_shared<Budget>(1024), events);
+  Inbound inbound(io, Tcp::acceptor(io, Loopback()), 4, std::make_shared<BufferBudget>(1024), events);
   const auto idle = Connect(io, inbound.address());
   const auto asking = Connect(io, inbound.address());
   asking->Write(Get("r1"));
@@ -121,12 +121,12 @@
 TEST_F(EndingsTest, WhoWaitsAsTheListenerClosesIsTakenAsDescriptorsComeFree) {
   Inbound::Events events;
   events.on_request = [&](const Inbound::SessionPtr& session, const RequestHead&, const BodyPtr&, Micros) {
-    Inbound::Respond(session, Plain(http::status::ok, "ok"));
+    Inbound::Respond(session, TextResponse(http::status::ok, "ok"));
   };
-  events.on_gone = [](const Inbound::SessionPtr&) {};
+  events.on_client_disconnected = [](const Inbound::SessionPtr&) {};
   events.ready = [] { return true; };
   for (const bool enough : {true, false}) {
-    Inbound inbound(io, Tcp::acceptor(io, Loopback()), 8, std::make_shared<Budget>(1024), events);
+    Inbound inbound(io, Tcp::acceptor(io, Loopback()), 8, std::make_shared<BufferBudget>(1024), events);
     inbound.Accept();
     const auto idle = Connect(io, inbound.address());
     idle->Write(Get("r0"));
@@ -153,12 +153,13 @@
   constexpr auto kMostTime = 500ms;  // they took 6 s
   Inbound::Events events;
   events.on_request = [&](const Inbound::SessionPtr& session, const RequestHead&, const BodyPtr&, Micros) {
-    Inbound::Respond(session, Plain(http::status::ok, "ok"));
+    Inbound::Respond(session, TextResponse(http::status::ok, "ok"));
   };
-  events.on_gone = [](const Inbound::SessionPtr&) {};
+  events.on_client_disconnected = [](const Inbound::SessionPtr&) {};
   events.ready = [] { return true; };
   for (const bool enough : {true, false}) {  // as above
-    Inbound inbound(io, Tcp::acceptor(io, Loopback()), 2 * kClients, std::make_shared<Budget>(1024), events);
+    Inbound inbound(io, Tcp::acceptor(io, Loopback()), 2 * kClients, std::make_shared<BufferBudget>(1024),
+                    events);
     inbound.Accept();
     const auto idle = Connect(io, inbound.address());
     idle->Write(Get("r0"));
@@ -171,7 +172,7 @@
     for (const auto& client : waiting) client->Write(Get("r1"));
     for (const auto& client : waiting) EXPECT_EQ(Status(*client), "200");
     EXPECT_LT(std::chrono::steady_clock::now() - begin, kMostTime);
-    inbound.LeaveQueue();
+    inbound.CloseListener();
     inbound.CloseIdle();
     EXPECT_TRUE(RunUntil(io, [&] { return !inbound.holds_connections(); }));
   }
--- a/tests/sidecar/operator_orders_test.cpp
+++ b/tests/sidecar/operator_orders_test.cpp
@@ -29,7 +29,7 @@
   struct Process {
     Process(OperatorOrdersTest& test)
         : balancer(Balancer::Create(test.names.settings, 1, test.now, sink, error)),
-          upstream(test.io, Upstream::Limits(), std::make_shared<Budget>(std::size_t{1} << 20)),
+          upstream(test.io, Upstream::Limits(), std::make_shared<BufferBudget>(std::size_t{1} << 20)),
           operator_orders(test.io, test.directory, test.names, *balancer, upstream,
                           [&test] { return test.now; }) {
       balancer->OnServers(test.now,
--- a/tests/sidecar/upstream_test.cpp
+++ b/tests/sidecar/upstream_test.cpp
@@ -28,7 +28,7 @@
     Upstream::Events events;
     events.done = [this](UpstreamAnswer answer) { answers.push_back(std::move(answer)); };
     events.begun = [this](const ResponseHead&, const BodyPtr& answer) { begun.push_back(answer); };
-    return upstream().Send(id, {head, Body::Whole(std::string(body, 'x')), 0, begin_within}, events);
+    return upstream().Send(id, {head, Body::FromString(std::string(body, 'x')), 0, begin_within}, events);
   }
   // The result of one attempt.
   Result Try(const std::string& id = "s1", std::size_t body = 0) {
@@ -53,7 +53,7 @@
   asio::io_context io;
   Upstream::Limits limits;
   Micros begin_within = 0;
-  std::shared_ptr<Budget> budget = std::make_shared<Budget>(1024 * 1024);
+  std::shared_ptr<BufferBudget> budget = std::make_shared<BufferBudget>(1024 * 1024);
   std::vector<UpstreamAnswer> answers;
   std::vector<BodyPtr> begun;  // answers that are passed on as they come
 
@@ -63,7 +63,7 @@
 
 TEST_F(UpstreamTest, StatusesMeanWhatTheProtocolSays) {
   EXPECT_EQ(TryReply(Reply("200 OK", "hello")), Result::kSuccess);
-  EXPECT_EQ(answers.back().body->From(0), "hello");
+  EXPECT_EQ(answers.back().body->DataFrom(0), "hello");
   EXPECT_EQ(TryReply(Reply("503 Service Unavailable", "", "Srv-Declined: 1\r\n")), Result::kRejected);
   EXPECT_EQ(TryReply(Reply("504 Gateway Timeout", "", "Srv-Declined: 1\r\n")), Result::kRejected);
   EXPECT_EQ(TryReply(Reply("503 Service Unavailable", "")), Result::kError);
@@ -72,7 +72,7 @@
   EXPECT_EQ(TryReply(Reply("500 Internal Server Error", "", "Srv-Declined: 1\r\n")), Result::kError);
   EXPECT_EQ(TryReply("no HTTP at all\r\n\r\n"), Result::kError);
   EXPECT_EQ(TryReply("HTTP/1.1 100 Continue\r\n\r\n" + Reply("200 OK", "later")), Result::kSuccess);
-  EXPECT_EQ(answers.back().body->From(0), "later");
+  EXPECT_EQ(answers.back().body->DataFrom(0), "later");
 }
 
 // An answer that is too long must not be taken in, however it says so and however it is cut.
@@ -84,27 +84,27 @@
   const std::string chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   EXPECT_EQ(TryReply(chunked + "b2d05e00\r\nits first bytes"), Result::kError);
   EXPECT_TRUE(begun.empty());
-  EXPECT_EQ(TryReply(Reply("200 OK", std::string(kMostHeld, 'x'))), Result::kSuccess);
+  EXPECT_EQ(TryReply(Reply("200 OK", std::string(kMaxBufferedBodyBytes, 'x'))), Result::kSuccess);
   EXPECT_TRUE(begun.empty());
   EXPECT_EQ(TryReply(chunked + "5\r\nhello\r\n1\r\n!\r\n0\r\n\r\n"), Result::kSuccess);
-  EXPECT_EQ(answers.back().body->From(0), "hello!");
+  EXPECT_EQ(answers.back().body->DataFrom(0), "hello!");
 }
 
 TEST_F(UpstreamTest, ALongAnswerBeginsAndTheRestFollows) {
-  ScriptedServer server(io,
-                        [&](Peer& peer) { peer.Write(Reply("200 OK", std::string(kMostHeld + 1, 'x'))); });
+  ScriptedServer server(
+      io, [&](Peer& peer) { peer.Write(Reply("200 OK", std::string(kMaxBufferedBodyBytes + 1, 'x'))); });
   Tell(server.address);
   Send();
   ASSERT_TRUE(RunUntil(io, [&] { return !begun.empty(); }));
-  EXPECT_EQ(begun[0]->length, kMostHeld + 1);
-  begun[0]->Release();
+  EXPECT_EQ(begun[0]->length, kMaxBufferedBodyBytes + 1);
+  begun[0]->DisableReplay();
   std::uint64_t taken = 0;
   EXPECT_TRUE(RunUntil(io, [&] {
-    taken += begun[0]->From(taken).size();
-    begun[0]->Taken(taken);
+    taken += begun[0]->DataFrom(taken).size();
+    begun[0]->ConsumeUpTo(taken);
     return begun[0]->ended();
   }));
-  EXPECT_EQ(begun[0]->size(), kMostHeld + 1);
+  EXPECT_EQ(begun[0]->size(), kMaxBufferedBodyBytes + 1);
   ASSERT_EQ(answers.size(), 1U);
   EXPECT_EQ(answers[0].result, Result::kSuccess);
   EXPECT_EQ(answers[0].body, nullptr);
@@ -112,13 +112,14 @@
 }
 
 TEST_F(UpstreamTest, AnAnswerIsNotHeldOnceTheBudgetIsSpent) {
-  budget->Take(1024 * 1024);
-  ScriptedServer server(io, [&](Peer& peer) { peer.Write(Reply("200 OK", std::string(kMostHeld, 'x'))); });
+  budget->Reserve(1024 * 1024);
+  ScriptedServer server(
+      io, [&](Peer& peer) { peer.Write(Reply("200 OK", std::string(kMaxBufferedBodyBytes, 'x'))); });
   Tell(server.address);
   Send();
   ASSERT_TRUE(RunUntil(io, [&] { return !begun.empty(); }));
   RunFor(io, 50ms);
-  EXPECT_LE(begun[0]->size(), 2 * kPiece);
+  EXPECT_LE(begun[0]->size(), 2 * kBlockBytes);
   begun[0]->Abandon();
   ASSERT_TRUE(RunUntil(io, [&] { return !answers.empty(); }));
   EXPECT_EQ(answers[0].result, Result::kCancelled);
@@ -127,17 +128,17 @@
 
 // Met as a crash: the answer was whole in the buffer, and the attempt ended under the feet of who was told.
 TEST_F(UpstreamTest, TakingAnAnswerAsItBeginsDoesNotEndTheAttemptMeanwhile) {
-  budget->Take(2 * 1024 * 1024);
+  budget->Reserve(2 * 1024 * 1024);
   ScriptedServer server(io, [&](Peer& peer) {
-    peer.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4000\r\n" + std::string(kPiece, 'x') +
-               "\r\n0\r\n\r\n");
+    peer.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4000\r\n" +
+               std::string(kBlockBytes, 'x') + "\r\n0\r\n\r\n");
   });
   Tell(server.address);
   bool done = false;
   bool ended_meanwhile = false;
   const auto take = [](Body& body) {
-    body.Release();
-    body.Taken(body.size());
+    body.DisableReplay();
+    body.ConsumeUpTo(body.size());
   };
   Upstream::Events events;
   events.done = [&](UpstreamAnswer) { done = true; };
@@ -146,13 +147,13 @@
     take(*answer);
     ended_meanwhile = done;
   };
-  upstream().Send("s1", {RequestHead(http::verb::get, "/api", 11), Body::Whole("")}, events);
+  upstream().Send("s1", {RequestHead(http::verb::get, "/api", 11), Body::FromString("")}, events);
   ASSERT_TRUE(RunUntil(io, [&] {
     if (!begun.empty()) take(*begun[0]);
     return done;
   }));
   EXPECT_FALSE(ended_meanwhile);
-  EXPECT_EQ(begun[0]->size(), kPiece);
+  EXPECT_EQ(begun[0]->size(), kBlockBytes);
 }
 
 TEST_F(UpstreamTest, WhatBreaksAfterTheLastByteMayHaveRun) {
@@ -179,7 +180,7 @@
   peer->Reset();
   ASSERT_TRUE(RunUntil(io, [&] { return answers.size() > before; }));
   EXPECT_EQ(answers.back().result, Result::kReset);
-  EXPECT_TRUE(begun[0]->broken()) << "the client has to see that it is not whole";
+  EXPECT_TRUE(begun[0]->failed()) << "the client has to see that it is not whole";
 }
 
 TEST_F(UpstreamTest, WritesNothingOnAConnectionThatComesUpTooLate) {
@@ -267,7 +268,7 @@
   ScriptedServer server(io, [](Peer& peer) { peer.Write(Reply("200 OK", "a") + Reply("200 OK", "stray")); });
   Tell(server.address);
   EXPECT_EQ(Try(), Result::kSuccess);
-  EXPECT_EQ(answers.back().body->From(0), "a");
+  EXPECT_EQ(answers.back().body->DataFrom(0), "a");
   EXPECT_EQ(upstream().open_connections(), 0U);
 }
 
@@ -320,7 +321,7 @@
   EXPECT_EQ(upstream().open_connections(), 1U);
   server.peers[0]->Write(Reply("200 OK", "finished"));
   ASSERT_TRUE(RunUntil(io, [&] { return answers.size() == 2; }));
-  EXPECT_EQ(answers.back().body->From(0), "finished");
+  EXPECT_EQ(answers.back().body->DataFrom(0), "finished");
   EXPECT_EQ(upstream().open_connections(), 0U);
   EXPECT_EQ(Try(), Result::kUnreachable);
   EXPECT_EQ(server.requests(), 2);
@@ -369,7 +370,7 @@
   EXPECT_EQ(Try(), Result::kSuccess);
   Tell(after.address);
   EXPECT_EQ(Try(), Result::kSuccess);
-  EXPECT_EQ(answers.back().body->From(0), "after");
+  EXPECT_EQ(answers.back().body->DataFrom(0), "after");
   EXPECT_EQ(upstream().open_connections(), 1U);
 }
 
@@ -387,7 +388,7 @@
     if (answers.size() == 1) Send();
   };
   events.begun = [&](const ResponseHead&, const BodyPtr& answer) { begun.push_back(answer); };
-  upstream().Send("s1", {RequestHead(http::verb::get, "/api", 11), Body::Whole("")}, events);
+  upstream().Send("s1", {RequestHead(http::verb::get, "/api", 11), Body::FromString("")}, events);
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
   io.restart();
   while (io.poll() > 0) {  // what the server has written is read, and the wait begins
@@ -405,7 +406,7 @@
 // A server's second answer, read in the instant in which the first one is whole, with its handler still to
 // run when the connection has the next request: it is no answer to that.
 TEST_F(UpstreamTest, WhatWasReadBeforeARequestWasWrittenIsNoAnswerToIt) {
-  const std::string body(kMostHeld + 1, 'x');  // so long that it is passed on as it comes
+  const std::string body(kMaxBufferedBodyBytes + 1, 'x');  // so long that it is passed on as it comes
   ScriptedServer server(io, [&](Peer& peer) {
     if (peer.requests() == 1) peer.Write(Reply("200 OK", body));
   });
@@ -417,13 +418,13 @@
   };
   events.begun = [&](const ResponseHead&, const BodyPtr& answer) {
     begun.push_back(answer);
-    answer->Release();
+    answer->DisableReplay();
     answer->on_data = [&, taken = answer.get()] {
-      taken->Taken(taken->size());
+      taken->ConsumeUpTo(taken->size());
       if (taken->ended()) server.peers[0]->Write(Reply("200 OK", "not yours"));
     };
   };
-  upstream().Send("s1", {RequestHead(http::verb::get, "/api", 11), Body::Whole("")}, events);
+  upstream().Send("s1", {RequestHead(http::verb::get, "/api", 11), Body::FromString("")}, events);
   ASSERT_TRUE(RunUntil(io, [&] { return answers.size() == 2; }));
   begun[0]->on_data = nullptr;
   EXPECT_EQ(server.peers.size(), 1U);            // on one connection, else nothing was put to the test
