--- a/src/sidecar/balancer_types.hpp
+++ b/src/sidecar/balancer_types.hpp
@@ -1,4 +1,4 @@
-// The types of the decision module that the sidecar uses under their short names.
+// Brings the balancer's types that the sidecar uses into its namespace.
 #ifndef VIOLETWING_SIDECAR_BALANCER_TYPES_HPP_
 #define VIOLETWING_SIDECAR_BALANCER_TYPES_HPP_
 
--- a/src/sidecar/body.cpp
+++ b/src/sidecar/body.cpp
@@ -9,8 +9,8 @@
 namespace violetwing::sidecar {
 namespace {
 
-// How long a peer may take to read one piece: slow ones take seconds.
-constexpr auto kMostStall = std::chrono::seconds(6);
+// Limit for one write of at most a block: slow peers take seconds to read it.
+constexpr auto kStallTimeout = std::chrono::seconds(6);
 
 }  // namespace
 
@@ -22,13 +22,14 @@
 }
 
 bool Body::HasCapacity() const {
-  return held_ && !budget_->exhausted() ? data_.size() <= kMaxBufferedBodyBytes : data_.size() < kBlockBytes;
+  return replay_allowed_ && !budget_->exhausted() ? data_.size() <= kMaxBufferedBodyBytes
+                                                  : data_.size() < kBlockBytes;
 }
 
-void Body::Append(std::string_view piece) {
-  if (abandoned_ || piece.empty()) return;
-  data_.append(piece);
-  Book();
+void Body::Append(std::string_view block) {
+  if (abandoned_ || block.empty()) return;
+  data_.append(block);
+  UpdateReservation();
   if (on_data) on_data();
 }
 
@@ -43,35 +44,36 @@
   if (on_data) on_data();
 }
 
-// What is taken from the system counts, and not what is in use of it.
-void Body::Book() {
-  budget_->Release(std::exchange(booked_, data_.capacity()));
-  budget_->Reserve(booked_);
+// Reserves the string's capacity, not its size: that is the memory that is allocated.
+void Body::UpdateReservation() {
+  budget_->Release(std::exchange(reserved_, data_.capacity()));
+  budget_->Reserve(reserved_);
 }
 
 std::string_view Body::DataFrom(std::uint64_t position) const {
-  return std::string_view(data_).substr(static_cast<std::size_t>(position - dropped_));
+  return std::string_view(data_).substr(static_cast<std::size_t>(position - discarded_));
 }
 
-// What is held is dropped only when there is no other way to go on.
+// Discards data only if replay is disabled, or if the reader has to stop with the buffer full and all of it
+// consumed.
 void Body::ConsumeUpTo(std::uint64_t position) {
-  if (held_ && (ended_ || position < size())) return;
-  if (held_ && HasCapacity()) {  // its reader may have stopped while the budget was spent
+  if (replay_allowed_ && (ended_ || position < size())) return;
+  if (replay_allowed_ && HasCapacity()) {  // the reader may have stopped while the budget was exhausted
     if (on_capacity) on_capacity();
     return;
   }
-  const bool first = std::exchange(held_, false) || dropped_ == 0;
-  const auto taken = static_cast<std::size_t>(position - dropped_);
-  if (taken == 0) return;
-  data_.erase(0, taken);
+  const bool first = std::exchange(replay_allowed_, false) || discarded_ == 0;
+  const auto consumed = static_cast<std::size_t>(position - discarded_);
+  if (consumed == 0) return;
+  data_.erase(0, consumed);
   if (data_.empty() && data_.capacity() > 2 * kBlockBytes) data_.shrink_to_fit();
-  dropped_ = position;
-  Book();
+  discarded_ = position;
+  UpdateReservation();
   if (first && on_discarded) std::exchange(on_discarded, nullptr)();
   if (HasCapacity() && on_capacity) on_capacity();
 }
 
-void Body::DisableReplay() { held_ = false; }
+void Body::DisableReplay() { replay_allowed_ = false; }
 
 void Body::Abandon() {
   if (std::exchange(abandoned_, true)) return;
@@ -88,58 +90,58 @@
   chunked_ = chunked;
   last_ = false;
   body_->on_data = [this, weak = owner_] {
-    if (const auto kept = weak.lock()) Next();
+    if (const auto kept = weak.lock()) WriteNext();
   };
-  Next();
+  WriteNext();
 }
 
 void MessageWriter::Stop() {
   done_ = nullptr;
-  stall_.cancel();
+  stall_timer_.cancel();
   if (body_ != nullptr) body_->on_data = nullptr;
   body_ = nullptr;
 }
 
-// Writes what there is: one piece at most, so that the rest can wait where it is counted.
-void MessageWriter::Next() {
+// Writes the available data, at most one block: the rest stays in the body, where the budget counts it.
+void MessageWriter::WriteNext() {
   if (writing_ || !done_ || last_) return;
   if (body_->failed()) {
-    // Later: a body may break, and its writer be told, in the middle of what its reader does.
+    // Posted, as the body may fail inside one of its reader's handlers.
     asio::post(socket_.get_executor(),
                [kept = owner_.lock(), done = std::move(done_)] { done(asio::error::connection_aborted); });
     return Stop();
   }
-  const std::string_view piece = body_->DataFrom(position_).substr(0, kBlockBytes);
-  if (!piece.empty()) {
+  const std::string_view block = body_->DataFrom(position_).substr(0, kBlockBytes);
+  if (!block.empty()) {
     if (chunked_) {
       char size[20];
-      out_.append(size, static_cast<std::size_t>(std::snprintf(size, sizeof size, "%zx\r\n", piece.size())));
+      out_.append(size, static_cast<std::size_t>(std::snprintf(size, sizeof size, "%zx\r\n", block.size())));
     }
-    out_.append(piece);
+    out_.append(block);
     if (chunked_) out_.append("\r\n");
-    position_ += piece.size();
+    position_ += block.size();
   }
   last_ = body_->ended() && position_ == body_->size();
   if (last_ && chunked_) out_.append("0\r\n\r\n");
-  if (out_.empty() && !last_) return;  // the body says when there is more
+  if (out_.empty() && !last_) return;  // the body calls on_data when there is more
   writing_ = true;
-  stall_.expires_after(kMostStall);
-  stall_.async_wait([this, kept = owner_.lock()](ErrorCode stopped) {
-    if (stopped || !writing_ || stall_.expiry() > std::chrono::steady_clock::now()) return;
+  stall_timer_.expires_after(kStallTimeout);
+  stall_timer_.async_wait([this, kept = owner_.lock()](ErrorCode timer_error) {
+    if (timer_error || !writing_ || stall_timer_.expiry() > std::chrono::steady_clock::now()) return;
     ErrorCode ignored;
-    socket_.cancel(ignored);  // ends the write with an error
+    socket_.cancel(ignored);  // the write completes with an error
   });
   asio::async_write(socket_, asio::buffer(out_),
                     [this, kept = owner_.lock()](ErrorCode error, std::size_t) { OnWritten(error); });
-  if (!piece.empty()) body_->ConsumeUpTo(position_);  // it is in `out_`
+  if (!block.empty()) body_->ConsumeUpTo(position_);  // the block is in `out_`
 }
 
 void MessageWriter::OnWritten(ErrorCode error) {
   writing_ = false;
-  stall_.cancel();
+  stall_timer_.cancel();
   out_.clear();
   if (!done_) return;
-  if (!error && !last_) return Next();
+  if (!error && !last_) return WriteNext();
   const Done done = std::move(done_);
   Stop();
   done(error);
--- a/src/sidecar/drain.cpp
+++ b/src/sidecar/drain.cpp
@@ -6,90 +6,94 @@
 namespace violetwing::sidecar {
 namespace {
 
-// Connections still come for up to 0.4 s after SIGTERM, and the kill comes so long after the longest
-// deadline, or after 3 s where that is longer.
-constexpr Micros kAcceptFor = 550'000;
-constexpr Micros kSettleFor = 150'000;  // and then so long for what was accepted last to speak
+// Clients still open connections for up to 0.4 s after SIGTERM. The process is killed kKillAfterDeadline
+// after the longest deadline of a request class, capped at 3 s.
+constexpr Micros kAcceptTime = 550'000;
+constexpr Micros kAwaitRequestsTime = 150'000;  // for the connections accepted last to send a request
 constexpr Micros kKillAfterDeadline = 700'000;
-constexpr Micros kMostDeadline = 3 * kSecond;
-constexpr Micros kLastWords = 100'000;  // for the answers given at the end to be read
-constexpr Micros kEndMargin = 400'000;  // and for a busy loop, before the kill
-constexpr Micros kPoll = 20'000;
+constexpr Micros kMaxDeadline = 3 * kSecond;
+constexpr Micros kResponseReadTime = 100'000;  // for clients to read the responses given at the end
+constexpr Micros kExitMargin = 400'000;        // for a busy event loop, before the kill
+constexpr Micros kPollInterval = 20'000;
 
-// From SIGTERM on.
-Micros HurryAfter(const Settings& settings) {
+// Time from SIGTERM until the remaining requests are answered.
+Micros FailRequestsAfter(const Settings& settings) {
   Micros longest = 0;
   for (const RequestClass& c : settings.classes) longest = std::max(longest, c.deadline);
-  return std::min(longest, kMostDeadline) + kKillAfterDeadline - kLastWords - kEndMargin;
+  return std::min(longest, kMaxDeadline) + kKillAfterDeadline - kResponseReadTime - kExitMargin;
 }
 
 }  // namespace
 
-Drain::Drain(asio::io_context& io, const Settings& settings, bool passes_listener)
-    : passes_listener_(passes_listener), hurry_after_(HurryAfter(settings)), timer_(io) {}
+Drain::Drain(asio::io_context& io, const Settings& settings, bool shares_listener)
+    : shares_listener_(shares_listener), fail_requests_after_(FailRequestsAfter(settings)), timer_(io) {}
 
 void Drain::Begin(Steps steps, std::function<void()> finished) {
   if (begun()) return;
   steps_ = std::move(steps);
   finished_ = std::move(finished);
-  begun_ = std::chrono::steady_clock::now();
+  started_ = std::chrono::steady_clock::now();
   Enter(State::kAccepting);
 }
 
-Micros Drain::Passed() const {
-  const auto passed = std::chrono::steady_clock::now() - begun_;
-  return std::chrono::duration_cast<std::chrono::microseconds>(passed).count();
+Micros Drain::Elapsed() const {
+  const auto elapsed = std::chrono::steady_clock::now() - started_;
+  return std::chrono::duration_cast<std::chrono::microseconds>(elapsed).count();
 }
 
-Micros Drain::TimeUntilForcedResponses() const { return std::max<Micros>(hurry_after_ - Passed(), 0); }
+Micros Drain::TimeUntilForcedResponses() const {
+  return std::max<Micros>(fail_requests_after_ - Elapsed(), 0);
+}
 
 void Drain::Enter(State state) {
   state_ = state;
   switch (state) {
     case State::kServing:
-    case State::kOver:
+    case State::kFinished:
       return;
     case State::kAccepting:
-      if (!passes_listener_) return EnterAt(kAcceptFor, State::kSettling);
-      // The clients that wait are the next process's. Those that are here go there with the answer that
-      // closes their connection; one that is closed between requests may cross one, so few are, and late.
+      if (!shares_listener_) return EnterAt(kAcceptTime, State::kAwaitingRequests);
+      // Waiting connections are left to the other process. Connected clients move there after the response
+      // that closes their connection. Closing an idle connection may race with a request on it, so idle
+      // connections are closed late, when few are left.
       steps_.close_listener();
-      return EnterAt(hurry_after_ / 2, State::kFinishing);
-    case State::kSettling:
+      return EnterAt(fail_requests_after_ / 2, State::kFinishingRequests);
+    case State::kAwaitingRequests:
       steps_.stop_accepting();
-      return EnterAt(kAcceptFor + kSettleFor, State::kFinishing);
-    case State::kFinishing:
+      return EnterAt(kAcceptTime + kAwaitRequestsTime, State::kFinishingRequests);
+    case State::kFinishingRequests:
       steps_.close_idle();
       return FinishIfDone();
-    case State::kHurrying:
+    case State::kFailingRequests:
       steps_.fail_requests();
       return FinishIfDone();
   }
 }
 
 void Drain::EnterAt(Micros after, State state) {
-  timer_.expires_at(begun_ + std::chrono::microseconds(after));
+  timer_.expires_at(started_ + std::chrono::microseconds(after));
   timer_.async_wait([this, state](ErrorCode error) {
     if (!error) Enter(state);
   });
 }
 
 void Drain::OnRequestFinished() {
-  if (state_ == State::kFinishing || state_ == State::kHurrying) FinishIfDone();
+  if (state_ == State::kFinishingRequests || state_ == State::kFailingRequests) FinishIfDone();
 }
 
-// Guards against ending with answers still unsent: each connection goes when its client has read its answer.
-// A request may still come on one that is open, so the next step stays due whatever is held now.
+// Guards against exiting with responses unsent: a connection closes once its client has read the response.
+// An open connection may still bring a request, so the next step stays scheduled even if none is pending now.
 void Drain::FinishIfDone() {
   const bool holds_requests = steps_.holds_requests();
-  if (!holds_requests && (!steps_.holds_connections() || Passed() >= hurry_after_ + kLastWords)) {
-    state_ = State::kOver;
+  if (!holds_requests &&
+      (!steps_.holds_connections() || Elapsed() >= fail_requests_after_ + kResponseReadTime)) {
+    state_ = State::kFinished;
     timer_.cancel();
     return std::exchange(finished_, nullptr)();
   }
-  if (state_ == State::kFinishing && (holds_requests || TimeUntilForcedResponses() <= kPoll))
-    return EnterAt(hurry_after_, State::kHurrying);
-  timer_.expires_after(std::chrono::microseconds(kPoll));
+  if (state_ == State::kFinishingRequests && (holds_requests || TimeUntilForcedResponses() <= kPollInterval))
+    return EnterAt(fail_requests_after_, State::kFailingRequests);
+  timer_.expires_after(std::chrono::microseconds(kPollInterval));
   timer_.async_wait([this](ErrorCode error) {
     if (!error) FinishIfDone();
   });
--- a/src/sidecar/drain.hpp
+++ b/src/sidecar/drain.hpp
@@ -1,13 +1,17 @@
-// The end of a sidecar, from SIGTERM on (graceful shutdown): which step is due when. Owns the state and its
-// one timer; the sidecar takes the steps. Each time is counted from the beginning, which is taken once.
+// Graceful shutdown of a sidecar, from SIGTERM on: decides when each step is due. Owns the state and its one
+// timer; the sidecar carries out the steps. All times count from the start of the shutdown, which is recorded
+// once.
 //
-//   kServing -> kAccepting -> kSettling -> kFinishing -> kHurrying -> kOver
+//   kServing -> kAccepting -> kAwaitingRequests -> kFinishingRequests -> kFailingRequests -> kFinished
 //
-// kAccepting: connections still come, and each answer closes its own. kSettling: what was accepted last may
-// speak. kFinishing: idle connections are closed, requests go on. kHurrying: requests are answered now.
-// kOver is also reached from kFinishing on, as soon as no request is held and no connection open. A process
-// whose listener another one has too accepts nothing from the beginning on and goes from kAccepting to
-// kFinishing.
+// kAccepting: new connections are still accepted, and each response closes its connection.
+// kAwaitingRequests: the connections accepted last may still send their requests.
+// kFinishingRequests: idle connections are closed; requests go on.
+// kFailingRequests: each remaining request is answered at once.
+// kFinished: also reached from kFinishingRequests, as soon as no request and no connection is left.
+//
+// A process that shares its listener with another one accepts nothing from the start, and goes from
+// kAccepting to kFinishingRequests.
 #ifndef VIOLETWING_SIDECAR_DRAIN_HPP_
 #define VIOLETWING_SIDECAR_DRAIN_HPP_
 
@@ -21,42 +25,51 @@
 
 namespace violetwing::sidecar {
 
+/// The state machine of the shutdown.
 class Drain {
  public:
   struct Steps {
-    std::function<void()> stop_accepting;  // what has connected is taken first
-    std::function<void()> close_listener;  // accept no more: another process has the listener too
+    std::function<void()> stop_accepting;  // after accepting the connections in the listen queue
+    std::function<void()> close_listener;  // accept nothing more; another process shares the listener
     std::function<void()> close_idle;
-    std::function<void()> fail_requests;  // each request that is held gets an answer now
+    std::function<void()> fail_requests;  // answer each remaining request now
     std::function<bool()> holds_requests;
     std::function<bool()> holds_connections;
   };
 
-  Drain(asio::io_context& io, const Settings& settings, bool passes_listener);
+  /// `shares_listener`: another process accepts connections from the same listener.
+  Drain(asio::io_context& io, const Settings& settings, bool shares_listener);
   Drain(const Drain&) = delete;
   Drain& operator=(const Drain&) = delete;
 
-  // Once; later calls change nothing. `finished` is called when the process may go.
+  /// Starts the shutdown; later calls have no effect. `finished` is called once, when the process may exit.
   void Begin(Steps steps, std::function<void()> finished);
   bool begun() const { return state_ != State::kServing; }
-  // When the requests that are still held are to be answered: in how long.
+  /// Time until the remaining requests are answered (kFailingRequests); 0 if that is due. Call after Begin.
   Micros TimeUntilForcedResponses() const;
-  // A request is over: it may have been the last.
+  /// A request has finished; it may have been the last one.
   void OnRequestFinished();
 
  private:
-  enum class State { kServing, kAccepting, kSettling, kFinishing, kHurrying, kOver };
+  enum class State {
+    kServing,
+    kAccepting,
+    kAwaitingRequests,
+    kFinishingRequests,
+    kFailingRequests,
+    kFinished
+  };
 
   void Enter(State state);
   void EnterAt(Micros after, State state);
   void FinishIfDone();
-  Micros Passed() const;
+  Micros Elapsed() const;
 
-  const bool passes_listener_;
-  const Micros hurry_after_;
+  const bool shares_listener_;
+  const Micros fail_requests_after_;
   asio::steady_timer timer_;
   State state_ = State::kServing;
-  std::chrono::steady_clock::time_point begun_;
+  std::chrono::steady_clock::time_point started_;
   Steps steps_;
   std::function<void()> finished_;
 };
--- a/src/sidecar/inbound.cpp
+++ b/src/sidecar/inbound.cpp
@@ -20,34 +20,37 @@
 namespace violetwing::sidecar {
 namespace {
 
-// How long accepting rests when descriptors have run out: guards against a loop that spins on EMFILE.
+// PauseDeadline before accepting again when file descriptors have run out, so that the loop does not spin on
+// EMFILE.
 constexpr auto kAcceptPause = std::chrono::milliseconds(50);
-// How long a connection that is closed with an answer still reads: closing it with input unread would reset
-// it, and the answer might be lost with that.
+// How long a connection that the sidecar closes after a response keeps reading. Closing a socket with unread
+// input resets it, and the client may lose the response.
 constexpr auto kLinger = std::chrono::seconds(1);
-// How often a client of which nothing is read is looked at: nothing may be sent on for one that has gone by
-// more than 0.1 s.
-constexpr auto kLookOut = std::chrono::milliseconds(50);
-// How long a peer may take to send a request, from its connection or from the first byte of a later one:
-// anyone may connect, and those who say nothing, or only half, must not keep a client's place. Clients take
-// up to 2 s beside what a body needs at 64 kB/s, and the others are owed an end within 3 s.
-constexpr auto kMostReading = std::chrono::milliseconds(2500);
-// For a first request of which bytes came in the very moment in which that time was over.
-constexpr auto kLateFirst = std::chrono::milliseconds(400);
-constexpr std::size_t kLeastRate = 32;  // bytes of a body in a millisecond: half of what clients keep to
+// Interval at which the sidecar checks a client for disconnection while it reads nothing from it. Nothing may
+// be forwarded for a client that disconnected more than 0.1 s ago.
+constexpr auto kDisconnectPollInterval = std::chrono::milliseconds(50);
+// Time a client has to send a request, counted from its connection or, for a later request, from its first
+// byte. Anyone may connect, so a client that sends nothing, or only part of a request, must not occupy a
+// connection. Clients take up to 2 s plus the time of the body at 64 kB/s; all others must be dropped within
+// 3 s.
+constexpr auto kRequestTimeout = std::chrono::milliseconds(2500);
+// Added for a first request whose first bytes arrive just as kRequestTimeout expires.
+constexpr auto kLateFirstRequestGrace = std::chrono::milliseconds(400);
+constexpr std::size_t kMinBodyBytesPerMs = 32;  // half of the rate that clients keep (64 kB/s)
 
 using Clock = std::chrono::steady_clock;
 
 struct Incoming {
-  // Not eager: an eager parser forgets that the head announced too long a body when bytes of it came along.
+  // Not eager: with an eager parser the error of a Content-Length above the limit is lost if bytes of the
+  // body arrive with the head.
   Incoming() {
     parser.header_limit(kMaxHeaderBytes);
     parser.body_limit(kMaxBodyBytes);
   }
 
   http::request_parser<IncrementalBody> parser;
-  bool begun = false;
-  Clock::time_point since = Clock::now();  // its time counts from then
+  bool receiving = false;
+  Clock::time_point start_time = Clock::now();  // of kRequestTimeout
 };
 
 RequestHead HeadOf(http::request<IncrementalBody>& request) {
@@ -64,7 +67,7 @@
       : owner_(owner),
         socket_(std::move(socket)),
         deadline_(owner.io_),
-        look_out_(owner.io_),
+        disconnect_timer_(owner.io_),
         writer_(socket_) {}
 
   void Start() {
@@ -72,45 +75,46 @@
     socket_.set_option(Tcp::no_delay(true), ignored);
     socket_.non_blocking(true, ignored);
     NextRequest();
-    ExpireAfter(kMostReading);
+    SetDeadlineAfter(kRequestTimeout);
     Read();
   }
 
-  // Between requests, as far as has been looked at.
-  bool Idle() const {
-    return state_ == State::kReading && buffer_.size() == 0 && !parser_->begun && !retiring_;
+  // Whether no request is in progress, as far as the input has been processed.
+  bool IsIdle() const {
+    return state_ == State::kReading && buffer_.size() == 0 && !parser_->receiving && !closing_if_idle_;
   }
-  bool retiring() const { return retiring_; }
+  bool closing_if_idle() const { return closing_if_idle_; }
 
-  // Closes an idle connection, unless a request is on its way in. The read that is out may have taken its
-  // bytes already while its handler has yet to run, so nothing but its end can tell: it is called off, and
-  // what it comes back with decides.
-  void Retire() {
-    retiring_ = true;
+  // Closes an idle connection, unless a request is arriving. The pending read may have its bytes already,
+  // with its handler still queued, so only its completion can tell: it is cancelled, and its result decides.
+  void CloseIfIdle() {
+    closing_if_idle_ = true;
     ErrorCode ignored;
     socket_.cancel(ignored);
   }
 
   void Respond(ResponseHead head, BodyPtr body, std::function<void(bool)> done) {
-    if (state_ != State::kBusy) return;
+    if (state_ != State::kProcessing) return;
     state_ = State::kWriting;
-    StopClock();
+    ClearDeadline();
     done_ = std::move(done);
-    answer_ = std::move(body);
-    answer_->DisableReplay();
-    if (answer_->ended()) answer_->length = answer_->length.value_or(answer_->size());
+    response_body_ = std::move(body);
+    response_body_->DisableReplay();
+    if (response_body_->ended())
+      response_body_->length = response_body_->length.value_or(response_body_->size());
     keep_alive_ = keep_alive_ && !owner_.draining_ && (body_ == nullptr || body_->ended());
-    // Without a length only chunks show an HTTP/1.1 client where the body ends, and the close an older one.
-    const bool chunked = !answer_->length && version_ >= 11;
-    if (!answer_->length && !chunked) keep_alive_ = false;
+    // Without a length, an HTTP/1.1 client needs chunks to find the end of the body, and an HTTP/1.0 client
+    // the close of the connection.
+    const bool chunked = !response_body_->length && version_ >= 11;
+    if (!response_body_->length && !chunked) keep_alive_ = false;
     head.version(version_);
     head.keep_alive(keep_alive_);
-    if (answer_->length) head.content_length(*answer_->length);
+    if (response_body_->length) head.content_length(*response_body_->length);
     if (chunked) head.chunked(true);
     std::string text = SerializeHead(head);
-    BodyPtr written = answer_;
+    BodyPtr written = response_body_;
     if (head_only_) {
-      answer_->Abandon();
+      response_body_->Abandon();
       written = Body::FromString("");
     }
     writer_.Start(shared_from_this(), std::move(text), std::move(written), chunked && !head_only_,
@@ -120,14 +124,15 @@
   void Close() {
     if (state_ == State::kClosed) return;
     Abandon();
-    StopClock();
-    look_out_.cancel();
+    ClearDeadline();
+    disconnect_timer_.cancel();
     owner_.Remove(*this);
-    Tell(/*whole=*/false);
-    if (answer_ != nullptr) std::exchange(answer_, nullptr)->Abandon();
+    NotifyDone(/*complete=*/false);
+    if (response_body_ != nullptr) std::exchange(response_body_, nullptr)->Abandon();
   }
 
-  // Closes without a word to the owner, which is going: what is still to be called back finds it closed.
+  // Closes without notifying the owner, which is being destroyed. Handlers that are still queued find the
+  // session closed.
   void Abandon() {
     state_ = State::kClosed;
     writer_.Stop();
@@ -135,66 +140,67 @@
     socket_.close(ignored);
   }
 
-  std::list<SessionPtr>::iterator place;
+  std::list<SessionPtr>::iterator list_position;
 
  private:
-  struct ReadAt {
-    std::uint64_t upto;  // bytes of the connection
+  struct Arrival {
+    std::uint64_t end_offset;  // in bytes, from the start of the connection
     Clock::time_point at;
   };
-  enum class State { kReading, kBusy, kWriting, kLingering, kClosed };
+  enum class State { kReading, kProcessing, kWriting, kLingering, kClosed };
 
   void NextRequest() {
     state_ = State::kReading;
     parser_.emplace();
     body_ = nullptr;
-    if (buffer_.size() == 0) buffer_.shrink_to_fit();  // it may be long before the next
-    paused_ = std::nullopt;
-    StopClock();  // an idle client may stay
+    if (buffer_.size() == 0) buffer_.shrink_to_fit();  // the next request may be long in coming
+    paused_at_ = std::nullopt;
+    ClearDeadline();  // an idle connection has no deadline
   }
 
-  // Moves the deadline out of reach. A cancel would leave it in the past where the wait for it has ended with
-  // its handler still to run, and that handler would end what has just come in time.
-  void StopClock() { deadline_.expires_at(Clock::time_point::max()); }
+  // Moves the deadline to the end of time. Cancelling the timer would not stop a wait that has completed with
+  // its handler still queued: the deadline would remain in the past, and the handler would end a request that
+  // arrived in time.
+  void ClearDeadline() { deadline_.expires_at(Clock::time_point::max()); }
 
-  void ExpireAfter(Clock::duration time) { ExpireAt(Clock::now() + time); }
+  void SetDeadlineAfter(Clock::duration time) { SetDeadline(Clock::now() + time); }
 
-  void ExpireAt(Clock::time_point time) {
+  void SetDeadline(Clock::time_point time) {
     deadline_.expires_at(time);
-    deadline_.async_wait([self = shared_from_this()](ErrorCode stopped) {
-      // A wait may have ended in the very turn of the loop in which the deadline was moved.
-      if (!stopped && self->deadline_.expiry() <= Clock::now()) self->OnExpired();
+    deadline_.async_wait([self = shared_from_this()](ErrorCode timer_error) {
+      // The wait may have completed in the same turn of the event loop in which the deadline was moved.
+      if (!timer_error && self->deadline_.expiry() <= Clock::now()) self->OnDeadline();
     });
   }
 
-  void OnExpired() {
+  void OnDeadline() {
     if (state_ == State::kClosed) return;
-    if (Idle()) return Retire();
-    if (state_ == State::kReading && parser_->begun)
+    if (IsIdle()) return CloseIfIdle();
+    if (state_ == State::kReading && parser_->receiving)
       return Reject(http::status::request_timeout, "request not whole in time\n");
-    Leave();
+    DropClient();
   }
 
-  // The client has left, or is as good as gone.
-  void Leave() {
+  // Closes the connection of a client that has disconnected, or that is treated as such.
+  void DropClient() {
     const auto self = shared_from_this();
-    const bool busy = state_ == State::kBusy;
+    const bool busy = state_ == State::kProcessing;
     Close();
     if (busy) owner_.events_.on_client_disconnected(self);
     if (body_ != nullptr) body_->Fail();
   }
 
-  // Whether more of the request's body is to come.
-  bool BodyComes() const { return body_ != nullptr && !body_->ended() && !body_->failed(); }
+  // Whether more of the request's body is expected.
+  bool BodyIncomplete() const { return body_ != nullptr && !body_->ended() && !body_->failed(); }
 
-  // Stays posted while a request is held, so that a client that leaves is noticed. Stops only when a client
-  // that does not wait for its answers has filled the buffer, or when a long body waits for room.
+  // Keeps a read pending while a request is processed, to notice that the client disconnects. Stops only when
+  // a client that pipelines requests has filled the buffer, or when a long body has no capacity.
   void Read() {
     if (reading_ || state_ == State::kClosed) return;
-    if (buffer_.size() + kReadSize > buffer_.max_size()) return LookOut();
-    if (state_ != State::kLingering && BodyComes() && !body_->HasCapacity()) {
-      Pause();
-      return LookOut();
+    if (buffer_.size() + kReadSize > buffer_.max_size()) return PollForDisconnect();
+    if (state_ != State::kLingering && BodyIncomplete() && !body_->HasCapacity()) {
+      PauseDeadline();
+      return PollForDisconnect();
     }
     reading_ = true;
     socket_.async_read_some(asio::buffer(input_),
@@ -204,120 +210,122 @@
                             });
   }
 
-  // Looks now and then whether the client has closed while nothing is read: its close is behind what it sent.
-  void LookOut() {
-    if (std::exchange(looking_out_, true)) return;
-    look_out_.expires_after(kLookOut);
-    look_out_.async_wait([self = shared_from_this()](ErrorCode stopped) {
-      self->looking_out_ = false;
-      if (stopped || self->reading_ || self->state_ == State::kClosed) return;
-      if (self->PeerHasClosed()) return self->Leave();
-      self->LookOut();
+  // Polls for the client's disconnection while nothing is read: in the stream, its FIN follows unread data.
+  void PollForDisconnect() {
+    if (std::exchange(polling_for_disconnect_, true)) return;
+    disconnect_timer_.expires_after(kDisconnectPollInterval);
+    disconnect_timer_.async_wait([self = shared_from_this()](ErrorCode timer_error) {
+      self->polling_for_disconnect_ = false;
+      if (timer_error || self->reading_ || self->state_ == State::kClosed) return;
+      if (self->PeerHasClosed()) return self->DropClient();
+      self->PollForDisconnect();
     });
   }
 
   bool PeerHasClosed() {
-    pollfd one{socket_.native_handle(), POLLRDHUP, 0};
-    return ::poll(&one, 1, 0) > 0 && (one.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+    pollfd descriptor{socket_.native_handle(), POLLRDHUP, 0};
+    return ::poll(&descriptor, 1, 0) > 0 && (descriptor.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
   }
 
-  // The peer is not to blame while its body waits for room.
-  void Pause() {
-    if (paused_ || (state_ != State::kReading && state_ != State::kBusy)) return;
-    paused_ = Clock::now();
-    StopClock();
+  // Stops the deadline while the request's body has no capacity, as that delay is not the client's.
+  void PauseDeadline() {
+    if (paused_at_ || (state_ != State::kReading && state_ != State::kProcessing)) return;
+    paused_at_ = Clock::now();
+    ClearDeadline();
   }
 
   void OnRead(ErrorCode error, std::size_t n) {
     if (state_ == State::kClosed) return;
-    const bool retired = std::exchange(retiring_, false);
-    if (retired && !StaysAfter(error)) return Close();
-    if (error && error != asio::error::operation_aborted) return Leave();
-    if (!error) Take(n);
+    const bool was_closing = std::exchange(closing_if_idle_, false);
+    if (was_closing && !HasNewRequest(error)) return Close();
+    if (error && error != asio::error::operation_aborted) return DropClient();
+    if (!error) HandleInput(n);
     Read();
-    // Its place is not to be had: another's may be. Not before what came is taken: it would look idle, be
-    // asked for its place again while nothing of it is read, and bar all others from being asked.
-    if (retired) owner_.Accept();
+    // This connection stays open, so another idle one may be closed instead. Only after its input has been
+    // handled: before that it would look idle and be chosen again, with no read pending, which would keep all
+    // others from being chosen.
+    if (was_closing) owner_.Accept();
   }
 
-  void Take(std::size_t n) {
+  void HandleInput(std::size_t n) {
     if (state_ != State::kLingering)
       buffer_.commit(asio::buffer_copy(buffer_.prepare(n), asio::buffer(input_, n)));
-    read_ += n;
-    if (state_ == State::kReading || state_ == State::kBusy) Parse();
-    NoteWaiting();
+    bytes_read_ += n;
+    if (state_ == State::kReading || state_ == State::kProcessing) Parse();
+    RecordArrival();
   }
 
-  // Keeps when bytes came that wait for the requests before them. Those that came within a millisecond count
-  // as one, the first of them: the bookkeeping must not outgrow what it is about.
-  void NoteWaiting() {
-    if (buffer_.size() == 0) return waiting_.clear();
+  // Records when pipelined bytes arrive. Those that arrive within a millisecond are recorded together, with
+  // the time of the first, so that the records take less memory than the data.
+  void RecordArrival() {
+    if (buffer_.size() == 0) return pipelined_.clear();
     const auto now = Clock::now();
-    if (!waiting_.empty() && now - waiting_.back().at < std::chrono::milliseconds(1)) {
-      waiting_.back().upto = read_;
+    if (!pipelined_.empty() && now - pipelined_.back().at < std::chrono::milliseconds(1)) {
+      pipelined_.back().end_offset = bytes_read_;
     } else {
-      waiting_.push_back({read_, now});
+      pipelined_.push_back({bytes_read_, now});
     }
   }
 
-  // Since when the last byte taken has been here.
-  Clock::duration Waited() {
-    const std::uint64_t taken = read_ - buffer_.size();
-    while (!waiting_.empty() && waiting_.front().upto < taken) waiting_.pop_front();
-    return waiting_.empty() ? Clock::duration::zero() : Clock::now() - waiting_.front().at;
+  // How long the last byte consumed has been in the buffer.
+  Clock::duration WaitTime() {
+    const std::uint64_t consumed = bytes_read_ - buffer_.size();
+    while (!pipelined_.empty() && pipelined_.front().end_offset < consumed) pipelined_.pop_front();
+    return pipelined_.empty() ? Clock::duration::zero() : Clock::now() - pipelined_.front().at;
   }
 
-  // Whether a connection that was to be closed stays, as a request came before its read could be called off.
-  bool StaysAfter(ErrorCode read) {
+  // Whether a connection that was to be closed stays open, as a request arrived before its read was
+  // cancelled.
+  bool HasNewRequest(ErrorCode read) {
     ErrorCode error;
     if (read && (read != asio::error::operation_aborted || socket_.available(error) == 0)) return false;
-    if (deadline_.expiry() <= Clock::now()) ExpireAfter(kLateFirst);
+    if (deadline_.expiry() <= Clock::now()) SetDeadlineAfter(kLateFirstRequestGrace);
     return true;
   }
 
-  // Reads on in a request whose body has room again.
-  void OnRoom() {
-    if ((state_ != State::kReading && state_ != State::kBusy) || !BodyComes()) return;
-    if (paused_) parser_->since += Clock::now() - *std::exchange(paused_, std::nullopt);
-    ExpectMore();
+  // Resumes reading a request whose body has capacity again.
+  void OnBodyCapacity() {
+    if ((state_ != State::kReading && state_ != State::kProcessing) || !BodyIncomplete()) return;
+    if (paused_at_) parser_->start_time += Clock::now() - *std::exchange(paused_at_, std::nullopt);
+    ExtendDeadline();
     Parse();
     Read();
   }
 
   bool BufferIsFull() const { return buffer_.size() + kReadSize > buffer_.max_size(); }
-  // A line that fills the buffer without an end.
-  ErrorCode LineTooLong() const {
+  // The error for a line that fills the buffer without ending.
+  ErrorCode LineTooLongError() const {
     return parser_->parser.is_header_done() ? http::error::bad_chunk : http::error::header_limit;
   }
 
   void Parse() {
     const auto kept = shared_from_this();
     while (buffer_.size() > 0 && !parser_->parser.is_done()) {
-      if (BodyComes() && !body_->HasCapacity()) return;
+      if (BodyIncomplete() && !body_->HasCapacity()) return;
       ErrorCode error;
-      if (!std::exchange(parser_->begun, true) && heard_) {
-        parser_->since = Clock::now();
-        ExpireAfter(kMostReading);
+      if (!std::exchange(parser_->receiving, true) && first_head_received_) {
+        parser_->start_time = Clock::now();
+        SetDeadlineAfter(kRequestTimeout);
       }
       const std::size_t used = parser_->parser.put(buffer_.data(), error);
       buffer_.consume(used);
       if (error == http::error::need_more && !BufferIsFull()) return;
-      if (error == http::error::need_more) error = LineTooLong();
+      if (error == http::error::need_more) error = LineTooLongError();
       if (error) return Reject(error);
-      if (parser_->parser.is_header_done() && body_ == nullptr && !TakeHead()) return;
-      if (body_ != nullptr) TakePiece();
-      if (state_ != State::kReading && state_ != State::kBusy) return;
+      if (parser_->parser.is_header_done() && body_ == nullptr && !HandleHead()) return;
+      if (body_ != nullptr) HandleBodyData();
+      if (state_ != State::kReading && state_ != State::kProcessing) return;
     }
   }
 
-  // False if the request ends here.
-  bool TakeHead() {
+  // Returns false if the request is rejected or the connection closed.
+  bool HandleHead() {
     auto& request = parser_->parser.get();
-    heard_ = true;
+    first_head_received_ = true;
     version_ = request.version() >= 11 ? 11 : 10;
     head_only_ = request.method() == http::verb::head;
     keep_alive_ = request.keep_alive();
-    // Another coding than chunks, whose end this library does not look for.
+    // A transfer coding other than chunked: Beast does not find the end of such a body.
     if (request.count(http::field::transfer_encoding) > 0 && !parser_->parser.chunked()) {
       Reject(http::status::bad_request, "malformed request\n");
       return false;
@@ -328,9 +336,9 @@
       body_->length = length ? *length : 0;
     }
     const std::weak_ptr<Session> weak = shared_from_this();
-    // Later: who takes it may be in the middle of what it does with this session.
+    // Posted, as the consumer of the body may be inside a call on this session.
     body_->on_capacity = [weak] {
-      if (const auto self = weak.lock()) asio::post(self->owner_.io_, [self] { self->OnRoom(); });
+      if (const auto self = weak.lock()) asio::post(self->owner_.io_, [self] { self->OnBodyCapacity(); });
     };
     if (parser_->parser.is_done()) return true;
     const auto expect = request[http::field::expect];
@@ -339,8 +347,8 @@
       Reject(http::status::expectation_failed, "unknown expectation\n");
       return false;
     }
-    if (buffer_.size() > 0) return true;  // it does not wait
-    // All before it has been written and read, so it goes out at once.
+    if (buffer_.size() > 0) return true;  // the client sends the body without waiting
+    // All earlier responses have been written and read, so the socket's send buffer has space for this one.
     static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
     ErrorCode error;
     if (socket_.write_some(asio::buffer(kContinue), error) == kContinue.size()) return true;
@@ -348,21 +356,21 @@
     return false;
   }
 
-  // What has come of the body moves the deadline, though not far past the last of it.
-  void ExpectMore() {
-    const std::chrono::milliseconds earned(body_->size() / kLeastRate);
-    ExpireAt(std::min(parser_->since + kMostReading + earned, Clock::now() + kMostReading));
+  // Extends the deadline by the body received so far, but to no later than kRequestTimeout from now.
+  void ExtendDeadline() {
+    const std::chrono::milliseconds extension(body_->size() / kMinBodyBytesPerMs);
+    SetDeadline(std::min(parser_->start_time + kRequestTimeout + extension, Clock::now() + kRequestTimeout));
   }
 
-  void TakePiece() {
-    std::string& piece = parser_->parser.get().body();
+  void HandleBodyData() {
+    std::string& data = parser_->parser.get().body();
     const bool done = parser_->parser.is_done();
-    body_->Append(std::exchange(piece, {}));
+    body_->Append(std::exchange(data, {}));
     if (done) {
-      StopClock();
+      ClearDeadline();
       body_->End();
     } else {
-      ExpectMore();
+      ExtendDeadline();
     }
     if (state_ == State::kReading && (done || !body_->HasCapacity())) Dispatch();
   }
@@ -375,8 +383,8 @@
   }
 
   void Reject(http::status status, const char* text) {
-    if (state_ == State::kBusy) return Leave();  // its request is under way
-    state_ = State::kBusy;
+    if (state_ == State::kProcessing) return DropClient();  // the request has been forwarded
+    state_ = State::kProcessing;
     keep_alive_ = false;
     Inbound::Respond(shared_from_this(), TextResponse(status, text));
   }
@@ -384,87 +392,87 @@
   void Dispatch() {
     RequestHead head = HeadOf(parser_->parser.get());
     if (head.target() == kReadyPath) {
-      state_ = State::kBusy;
+      state_ = State::kProcessing;
       const bool ready = !owner_.draining_ && owner_.events_.ready();
       return Inbound::Respond(shared_from_this(),
                               TextResponse(ready ? http::status::ok : http::status::service_unavailable,
                                            ready ? "ready\n" : "not yet\n"));
     }
-    // Its close may lie behind what was read: of one that waited in the listener's queue, or while this
-    // process stood still, both came at the same time.
-    if (PeerHasClosed()) return Leave();
-    state_ = State::kBusy;
-    const auto waited = body_->ended() ? Waited() : Clock::duration::zero();
+    // The client's FIN may already be behind the request that was read: both arrive together if the
+    // connection waited in the listen queue, or while this process was stopped.
+    if (PeerHasClosed()) return DropClient();
+    state_ = State::kProcessing;
+    const auto waited = body_->ended() ? WaitTime() : Clock::duration::zero();
     owner_.events_.on_request(shared_from_this(), std::move(head), body_,
                               std::chrono::duration_cast<std::chrono::microseconds>(waited).count());
   }
 
-  void Tell(bool whole) {
-    if (done_) std::exchange(done_, nullptr)(whole);
+  void NotifyDone(bool complete) {
+    if (done_) std::exchange(done_, nullptr)(complete);
   }
 
   void OnWritten(ErrorCode error) {
     if (state_ == State::kClosed) return;
     if (error) {
-      // A close would say that a body of unknown length is whole.
+      // A normal close would tell an HTTP/1.0 client that a body of unknown length is complete.
       ErrorCode ignored;
       if (version_ < 11) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
       return Close();
     }
-    answer_ = nullptr;
-    Tell(/*whole=*/true);
+    response_body_ = nullptr;
+    NotifyDone(/*complete=*/true);
     if (!keep_alive_) return LingerAndClose();
-    owner_.sessions_.splice(owner_.sessions_.end(), owner_.sessions_, place);
+    owner_.sessions_.splice(owner_.sessions_.end(), owner_.sessions_, list_position);
     NextRequest();
     Parse();
     Read();
-    if (Idle()) owner_.OnIdle();
+    if (IsIdle()) owner_.OnSessionIdle();
   }
 
   void LingerAndClose() {
     state_ = State::kLingering;
-    if (body_ != nullptr) body_->Fail();  // the rest of it is not passed on
+    if (body_ != nullptr) body_->Fail();  // the rest of the request is not forwarded
     ErrorCode error;
     socket_.shutdown(Tcp::socket::shutdown_send, error);
     if (error) return Close();
     buffer_.consume(buffer_.size());
-    ExpireAfter(kLinger);
+    SetDeadlineAfter(kLinger);
     Read();
   }
 
   Inbound& owner_;
   Tcp::socket socket_;
-  asio::steady_timer deadline_;          // of what the state waits for from the peer
-  asio::steady_timer look_out_;          // for its close, while nothing is read
-  std::array<char, kReadSize> input_{};  // of its own: the buffer may move what it holds while a read is out
+  asio::steady_timer deadline_;          // for what the state expects from the client
+  asio::steady_timer disconnect_timer_;  // while nothing is read
+  std::array<char, kReadSize> input_{};  // separate, as buffer_ may move its data during a read
   beast::flat_buffer buffer_{2 * kMaxUnparsedBytes};
-  std::uint64_t read_ = 0;      // bytes so far
-  std::deque<ReadAt> waiting_;  // when those came that are in the buffer behind other requests
+  std::uint64_t bytes_read_ = 0;   // from the socket, in total
+  std::deque<Arrival> pipelined_;  // arrival times of buffered bytes behind the current request
   std::optional<Incoming> parser_;
-  BodyPtr body_;                             // of the request, once its head has come
-  std::optional<Clock::time_point> paused_;  // since when it waits for room
-  BodyPtr answer_;                           // while it is written
+  BodyPtr body_;                                // of the request, once its head is complete
+  std::optional<Clock::time_point> paused_at_;  // since when the body has no capacity
+  BodyPtr response_body_;                       // while the response is written
   MessageWriter writer_;
-  std::function<void(bool)> done_;  // told when the answer has gone out, or cannot
+  std::function<void(bool)> done_;  // called once the response is written or has failed
   State state_ = State::kReading;
   unsigned version_ = 11;
   bool head_only_ = false;  // the request was HEAD
   bool reading_ = false;
-  bool looking_out_ = false;
-  bool retiring_ = false;  // it is closed unless a request has come
+  bool polling_for_disconnect_ = false;
+  bool closing_if_idle_ = false;  // its read is being cancelled; closes unless a request has arrived
   bool keep_alive_ = true;
-  bool heard_ = false;  // its first head has come whole
+  bool first_head_received_ = false;
 };
 
-Inbound::Inbound(asio::io_context& io, Tcp::acceptor listener, std::size_t most_sessions,
+Inbound::Inbound(asio::io_context& io, Tcp::acceptor listener, std::size_t max_sessions,
                  std::shared_ptr<BufferBudget> budget, Events events)
     : io_(io),
-      most_sessions_(most_sessions),
+      max_sessions_(max_sessions),
       budget_(std::move(budget)),
       events_(std::move(events)),
       acceptor_(std::move(listener)),
       address_(acceptor_.local_endpoint()),
-      pause_(io) {}
+      accept_timer_(io) {}
 
 Inbound::~Inbound() {
   for (const SessionPtr& session : sessions_) session->Abandon();
@@ -483,7 +491,7 @@
 
 void Inbound::Accept() {
   if (accepting_ || !acceptor_.is_open()) return;
-  if (sessions_.size() >= most_sessions_) return RetireIdle();  // the next that ends or is idle goes on
+  if (sessions_.size() >= max_sessions_) return CloseOneIdle();  // accepting resumes when one ends or is idle
   accepting_ = true;
   acceptor_.async_accept([this](ErrorCode error, Tcp::socket socket) {
     accepting_ = false;
@@ -493,66 +501,70 @@
 
 void Inbound::OnAccepted(ErrorCode error, Tcp::socket socket) {
   if (!error) {
-    // Also if the listener has closed since: the client may have sent its request already.
+    // The client may have sent its request already, so the connection is accepted even if the listener has
+    // been closed since.
     Add(std::move(socket));
     return Accept();
   }
   if (error == asio::error::operation_aborted || !acceptor_.is_open()) return;
   if (error == asio::error::connection_aborted) return Accept();
-  AcceptLater();
+  OnOutOfDescriptors();
 }
 
-// No descriptor is left for those that wait: an idle connection makes room for the next. Descriptors that
-// come free elsewhere are not told of, so accepting is tried again after a pause as well.
-void Inbound::AcceptLater() {
-  short_of_descriptors_ = true;
-  ResumeAfter(kAcceptPause);
-  RetireIdle();
+// No descriptor is left for the queued connections: closing an idle one frees one. The sidecar is not
+// notified when other code frees descriptors, so accepting is also retried after a pause.
+void Inbound::OnOutOfDescriptors() {
+  out_of_descriptors_ = true;
+  ResumeAcceptingAfter(kAcceptPause);
+  CloseOneIdle();
 }
 
-// Accepts again after a time, in place of any time set before.
-void Inbound::ResumeAfter(Clock::duration time) {
-  pause_.expires_after(time);
-  pause_.async_wait([this](ErrorCode stopped) {
-    if (stopped) return;
-    short_of_descriptors_ = false;
+// Accepts again after `time`, which replaces any time set before.
+void Inbound::ResumeAcceptingAfter(Clock::duration time) {
+  accept_timer_.expires_after(time);
+  accept_timer_.async_wait([this](ErrorCode timer_error) {
+    if (timer_error) return;
+    out_of_descriptors_ = false;
     stopping_ ? StopAccepting() : Accept();
   });
 }
 
 void Inbound::Add(Tcp::socket socket) {
   const auto session = std::make_shared<Session>(*this, std::move(socket));
-  session->place = sessions_.insert(sessions_.end(), session);
+  session->list_position = sessions_.insert(sessions_.end(), session);
   session->Start();
 }
 
-// One at a time: whether it goes shows in a moment, and that makes room or asks for another.
-void Inbound::RetireIdle() {
+// Closes one at a time: the result of its read soon shows whether it closes, which frees capacity or selects
+// another one.
+void Inbound::CloseOneIdle() {
   if (std::any_of(sessions_.begin(), sessions_.end(),
-                  [](const auto& session) { return session->retiring(); }))
+                  [](const auto& session) { return session->closing_if_idle(); }))
     return;
   const auto idle =
-      std::find_if(sessions_.begin(), sessions_.end(), [](const auto& session) { return session->Idle(); });
-  if (idle != sessions_.end()) (*idle)->Retire();
+      std::find_if(sessions_.begin(), sessions_.end(), [](const auto& session) { return session->IsIdle(); });
+  if (idle != sessions_.end()) (*idle)->CloseIfIdle();
 }
 
 void Inbound::Remove(const Session& session) {
-  const bool was_full = sessions_.size() >= most_sessions_;
-  sessions_.erase(session.place);
-  if (short_of_descriptors_) return ResumeAfter(Clock::duration::zero());  // its descriptor is free
+  const bool was_full = sessions_.size() >= max_sessions_;
+  sessions_.erase(session.list_position);
+  if (out_of_descriptors_)
+    return ResumeAcceptingAfter(Clock::duration::zero());  // its descriptor is available now
   if (was_full) Accept();
 }
 
-// Where all places or descriptors were at work, the next client gets this one's.
-void Inbound::OnIdle() {
-  if (short_of_descriptors_) return RetireIdle();
-  if (sessions_.size() >= most_sessions_) Accept();
+// If the connection limit is reached or descriptors have run out, the next client gets this session's place.
+void Inbound::OnSessionIdle() {
+  if (out_of_descriptors_) return CloseOneIdle();
+  if (sessions_.size() >= max_sessions_) Accept();
 }
 
 void Inbound::CloseAfterResponses() { draining_ = true; }
 
 void Inbound::StopAccepting() {
-  // What has connected may have sent its request: closing the listener on it would reset it unanswered.
+  // A queued connection may have sent its request: closing the listener now would reset it without a
+  // response.
   stopping_ = true;
   ErrorCode error;
   acceptor_.non_blocking(true, error);
@@ -562,20 +574,20 @@
     if (!error) Add(std::move(socket));
   }
   if (!acceptor_.is_open() || error == asio::error::would_block) return CloseListener();
-  AcceptLater();
+  OnOutOfDescriptors();
 }
 
-// Never shut down: that would end the listener for all that hold it.
+// Closes without a shutdown, which would stop the listener for every process that shares it.
 void Inbound::CloseListener() {
-  pause_.cancel();
-  short_of_descriptors_ = false;
+  accept_timer_.cancel();
+  out_of_descriptors_ = false;
   ErrorCode ignored;
   acceptor_.close(ignored);
 }
 
 void Inbound::CloseIdle() {
   for (const SessionPtr& session : sessions_)
-    if (session->Idle()) session->Retire();
+    if (session->IsIdle()) session->CloseIfIdle();
 }
 
 }  // namespace violetwing::sidecar
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -1,6 +1,6 @@
-// violetwing-sidecar: a sidecar that balances the load of the application beside it over its servers.
-// SIGHUP makes it follow the discovery that its configuration names by then.
-// Exit status: 0 after SIGTERM or SIGINT, 1 if it cannot listen, 2 if the configuration makes no sense.
+// violetwing-sidecar: balances the requests of the application on the same host over its servers.
+// SIGHUP reloads the discovery addresses from the configuration.
+// Exit status: 0 after SIGTERM or SIGINT, 1 if it cannot listen, 2 if the configuration is invalid.
 #include <malloc.h>
 
 #include <boost/asio/io_context.hpp>
@@ -17,8 +17,8 @@
 
 using violetwing::sidecar::Sidecar;
 
-// What escapes a handler ends that handler and not the sidecar, with all that it holds.
-void RunToTheEnd(boost::asio::io_context& io) {
+// An exception that escapes a handler ends only that handler, not the process with its requests in flight.
+void RunUntilStopped(boost::asio::io_context& io) {
   for (;;) {
     try {
       io.run();
@@ -29,14 +29,14 @@
   }
 }
 
-const char* Variable(const char* name) { return std::getenv(name); }
+const char* EnvironmentVariable(const char* name) { return std::getenv(name); }
 
-// A configuration that makes no sense must not end a sidecar that runs: it goes on with the one it has.
+// An invalid configuration must not end a running sidecar, which keeps its current one.
 void Reload(Sidecar& sidecar) {
   try {
-    sidecar.Reload(violetwing::sidecar::ReloadConfig(Variable));
+    sidecar.Reload(violetwing::sidecar::ReloadConfig(EnvironmentVariable));
   } catch (const violetwing::sidecar::ConfigError& error) {
-    std::fprintf(stderr, "violetwing-sidecar: not reloaded: %s\n", error.what());
+    std::fprintf(stderr, "violetwing-sidecar: configuration not reloaded: %s\n", error.what());
   }
 }
 
@@ -50,7 +50,7 @@
 
 int Serve() {
   boost::asio::io_context io(1);
-  Sidecar sidecar(io, violetwing::sidecar::LoadConfig(Variable));
+  Sidecar sidecar(io, violetwing::sidecar::LoadConfig(EnvironmentVariable));
   boost::asio::signal_set hangups(io, SIGHUP);
   ReloadOnHangup(hangups, sidecar);
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
@@ -63,18 +63,19 @@
     std::fprintf(stderr, "violetwing-sidecar: cannot listen: %s\n", error.what());
     return 1;
   }
-  RunToTheEnd(io);
+  RunUntilStopped(io);
   return 0;
 }
 
-// What a long body held goes back to the system when it is dropped, and is not kept in the heap.
-constexpr int kMapFrom = 32 * 1024;
+// Allocations of this size and above are mapped, so that the memory of a long body returns to the system when
+// it is freed instead of staying in the heap.
+constexpr int kMmapThresholdBytes = 32 * 1024;
 
 }  // namespace
 
 int main() {
-  ::mallopt(M_MMAP_THRESHOLD, kMapFrom);
-  std::signal(SIGPIPE, SIG_IGN);  // a peer that has left is an error of the write, not the end
+  ::mallopt(M_MMAP_THRESHOLD, kMmapThresholdBytes);
+  std::signal(SIGPIPE, SIG_IGN);  // a write to a closed connection returns an error instead
   try {
     return Serve();
   } catch (const std::exception& error) {
--- a/src/sidecar/protocol.hpp
+++ b/src/sidecar/protocol.hpp
@@ -1,4 +1,4 @@
-// The names that the protocol fixes, and the message types that its parts share.
+// Header names, limits and HTTP message types that the parts of the sidecar share.
 #ifndef VIOLETWING_SIDECAR_PROTOCOL_HPP_
 #define VIOLETWING_SIDECAR_PROTOCOL_HPP_
 
@@ -22,18 +22,18 @@
 namespace http = boost::beast::http;
 using Tcp = asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
-// Heads, whose bodies go their own way, and answers of the sidecar's own.
+// Message heads, whose bodies are streamed separately (body.hpp), and responses that the sidecar generates.
 using RequestHead = http::request<http::empty_body>;
 using ResponseHead = http::response<http::empty_body>;
 using HttpResponse = http::response<http::string_body>;
 
 inline constexpr std::size_t kMaxBodyBytes = std::size_t{32} * 1024 * 1024;
-inline constexpr std::size_t kMaxBufferedBodyBytes =
-    std::size_t{64} * 1024;  // a longer body is passed on as it comes
+inline constexpr std::size_t kMaxBufferedBodyBytes = std::size_t{64} * 1024;  // longer bodies are streamed
+// The most that one write takes from a body, and the window of a streamed body.
 inline constexpr std::size_t kBlockBytes = std::size_t{16} * 1024;
 inline constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
 inline constexpr std::size_t kReadSize = kBlockBytes / 2;
-// What a connection holds unparsed: one header and one read.
+// Limit of a connection's unparsed input: one header and one read.
 inline constexpr std::size_t kMaxUnparsedBytes = kMaxHeaderBytes + kReadSize;
 
 inline constexpr const char* kIdHeader = "Req-Id";
@@ -48,14 +48,14 @@
 
 inline constexpr Micros kSecond = 1'000'000;
 
-// As the protocol's times are written.
+/// Formats a duration as the protocol's headers do: seconds with three decimals.
 inline std::string FormatSeconds(Micros time) {
   char text[32];
   std::snprintf(text, sizeof text, "%.3f", static_cast<double>(time) / static_cast<double>(kSecond));
   return text;
 }
 
-// An answer of the sidecar's own.
+/// A text/plain response that the sidecar generates itself.
 inline HttpResponse TextResponse(http::status status, std::string text) {
   HttpResponse response(status, 11);
   response.set(http::field::content_type, "text/plain");
@@ -63,7 +63,7 @@
   return response;
 }
 
-// A head as it is written.
+/// Serializes the start line and the header fields, up to and including the empty line.
 template <bool kIsRequest>
 std::string SerializeHead(http::message<kIsRequest, http::empty_body>& head) {
   http::serializer<kIsRequest, http::empty_body> serializer(head);
--- a/tests/sidecar/loopback.hpp
+++ b/tests/sidecar/loopback.hpp
@@ -1,4 +1,4 @@
-// What the tests of the sidecar share beside the scripted peers: lists of servers and a configuration.
+// JSON of server lists and of a configuration, for the tests of the sidecar.
 #ifndef VIOLETWING_TESTS_SIDECAR_LOOPBACK_HPP_
 #define VIOLETWING_TESTS_SIDECAR_LOOPBACK_HPP_
 
@@ -25,7 +25,7 @@
   return {{"generation", generation}, {"reset", reset}, {"instances", instances}};
 }
 
-inline nlohmann::json Class(const std::string& name, const std::string& repeat) {
+inline nlohmann::json ClassJson(const std::string& name, const std::string& repeat) {
   return {{"name", name},      {"aim_us", 1000000},    {"hard_limit_us", 5000000},
           {"importance", 1.0}, {"repeat", repeat},     {"group", "all"},
           {"late_value", 0.5}, {"window_us", 5000000}, {"stream", false}};
@@ -51,7 +51,8 @@
             {"host_types", {"std"}},
             {"my_zone", "east"},
             {"grades",
-             {Class("look", "idempotent"), Class("pay", "deduplicated"), Class("port", "at_most_once")}},
+             {ClassJson("look", "idempotent"), ClassJson("pay", "deduplicated"),
+              ClassJson("port", "at_most_once")}},
             {"membership_mode", "automatic"},
             {"quantum_us", 5000},
             {"rank", 0},
--- a/tests/sidecar/endings_test.cpp
+++ b/tests/sidecar/race_test.cpp
@@ -1,6 +1,6 @@
-// What is still owed at the instant in which something ends. Each test holds a byte, a FIN, a reset or an
-// accept back until the sidecar has reached a known state, and lets go then: the bad order happens each time.
-// docs/endings.md lists the ends and which test forces which.
+// Races between the end of a connection, a deadline or the process and the requests in progress. Each test
+// delays a byte, a FIN, a reset or an accept until the sidecar has reached a known state, so that the
+// critical order of events occurs every time. docs/endings.md lists the cases and the test of each.
 #include <poll.h>
 #include <sys/resource.h>
 #include <unistd.h>
@@ -17,64 +17,66 @@
 
 using namespace testing;  // NOLINT(google-build-using-namespace)
 
-class EndingsTest : public SidecarTest {
+class RaceTest : public SidecarTest {
  protected:
-  // 64 descriptors leave room for so many clients' connections (docs/operations.md).
-  static constexpr int kPlaces = 11;
-  static void FewDescriptors(nlohmann::json& json) { json["limits"]["sockets"] = 64; }
-
-  // Fills all places but `free` with requests that the silent server holds.
-  void Fill(ScriptedServer& server, int free) {
-    for (int i = 0; i < kPlaces - free; ++i) {
-      held.push_back(Client(Get("held" + std::to_string(i))));
+  // Client connections that a limit of 64 descriptors allows (docs/operations.md).
+  static constexpr int kMaxConnections = 11;
+  static void LimitDescriptors(nlohmann::json& json) { json["limits"]["sockets"] = 64; }
+
+  // Leaves `free` connections unused; each other one carries a request that the silent server does not
+  // answer.
+  void UseConnections(ScriptedServer& server, int free) {
+    for (int i = 0; i < kMaxConnections - free; ++i) {
+      clients.push_back(Client(Get("held" + std::to_string(i))));
       ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == i + 1; }));
     }
   }
 
-  std::vector<std::shared_ptr<Peer>> held;
+  std::vector<std::shared_ptr<Peer>> clients;
 };
 
-// One that was asked for its place as its request came keeps it, and the next idle one is asked instead. As
-// it still looked idle it was asked once more, with nothing of it being read, and barred all others.
-TEST_F(EndingsTest, OneThatKeepsItsPlaceBarsNoOtherFromBeingAsked) {
+// A request arrives on an idle connection that is chosen to be closed: the connection stays open and another
+// idle one is closed instead. Guards against choosing the first again, with no read pending on it: no other
+// idle connection would be closed then.
+TEST_F(RaceTest, AConnectionThatStaysOpenDoesNotKeepOthersFromBeingClosed) {
   ScriptedServer server(io);
-  Start({Entry("s1", server.address), Entry("s2", server.address)}, FewDescriptors);
-  Fill(server, 0);  // the last one was asked as it came
+  Start({Entry("s1", server.address), Entry("s2", server.address)}, LimitDescriptors);
+  UseConnections(server, 0);  // the last one was chosen to be closed as its request arrived
   server.peers[0]->Write(Reply("200 OK", "ok"));
-  ASSERT_EQ(Status(*held[0]), "200");  // it is idle
-  held[1]->Close();
+  ASSERT_EQ(Status(*clients[0]), "200");  // the connection is idle now
+  clients[1]->Close();
   ASSERT_TRUE(RunUntil(io, [&] { return server.peers[1]->ended; }));
-  const auto next = Client(Get("next"));  // has the place that is free, and the last one again
+  const auto next = Client(Get("next"));  // takes the last free connection
   const auto waiting = Client(Get("waiting"));
-  EXPECT_TRUE(RunUntil(io, [&] { return server.requests() == kPlaces + 2; }));
-  EXPECT_TRUE(held[0]->ended);
+  EXPECT_TRUE(RunUntil(io, [&] { return server.requests() == kMaxConnections + 2; }));
+  EXPECT_TRUE(clients[0]->ended);
 }
 
-// All places are at work and a client waits for one: it has that of the first that becomes idle.
-TEST_F(EndingsTest, AClientGetsThePlaceOfOneThatBecomesIdle) {
+// At the connection limit, with no idle connection, a waiting client is accepted as soon as one becomes idle.
+TEST_F(RaceTest, AWaitingClientReplacesTheFirstConnectionThatBecomesIdle) {
   ScriptedServer server(io);
-  Start({Entry("s1", server.address), Entry("s2", server.address)}, FewDescriptors);
-  Fill(server, 0);
+  Start({Entry("s1", server.address), Entry("s2", server.address)}, LimitDescriptors);
+  UseConnections(server, 0);
   const auto waiting = Client(Get("waiting"));
-  server.peers[0]->Write(Reply("200 OK", "ok"));  // and its connection is kept
-  EXPECT_TRUE(RunUntil(io, [&] { return server.requests() == kPlaces + 1; }));
+  server.peers[0]->Write(Reply("200 OK", "ok"));  // and its client keeps the connection
+  EXPECT_TRUE(RunUntil(io, [&] { return server.requests() == kMaxConnections + 1; }));
   EXPECT_FALSE(waiting->ended);
 }
 
-// The last place goes to a connection whose request was read in the instant of its accept. As its handler had
-// not run it looked idle, and was closed for the place.
-TEST_F(EndingsTest, ARequestReadWithItsAcceptIsNotClosedForItsPlace) {
+// The connection that reaches the limit has its request read as it is accepted. Guards against taking it for
+// idle and closing it because the read's handler has not run yet.
+TEST_F(RaceTest, AConnectionWhoseRequestIsReadOnAcceptIsNotClosedAsIdle) {
   ScriptedServer server(io);
-  Start({Entry("s1", server.address), Entry("s2", server.address)}, FewDescriptors);
-  Fill(server, 1);
+  Start({Entry("s1", server.address), Entry("s2", server.address)}, LimitDescriptors);
+  UseConnections(server, 1);
   const auto last = Client(Get("last"));
-  ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == kPlaces || last->ended; }));
-  EXPECT_EQ(server.requests(), kPlaces);
+  ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == kMaxConnections || last->ended; }));
+  EXPECT_EQ(server.requests(), kMaxConnections);
   EXPECT_FALSE(last->ended);
 }
 
-// Two at the end of a drain: one is closed unless a request came, and one was read but has not been handled.
-TEST_F(EndingsTest, ARequestReadAsIdleConnectionsAreClosedIsServed) {
+// Idle connections are closed during the drain while one request has been read but not handled: it is served.
+TEST_F(RaceTest, ARequestReadWhileIdleConnectionsCloseIsServed) {
   std::vector<std::string> taken;
   Inbound::Events events;
   events.on_request = [&](const Inbound::SessionPtr& session, const RequestHead& head, const BodyPtr&,
@@ -88,7 +90,7 @@
   const auto idle = Connect(io, inbound.address());
   const auto asking = Connect(io, inbound.address());
   asking->Write(Get("r1"));
-  inbound.StopAccepting();  // takes both, and reads what the second has sent
+  inbound.StopAccepting();  // accepts both, and reads the second one's request
   inbound.CloseIdle();
   EXPECT_EQ(Status(*asking), "200");
   EXPECT_TRUE(RunUntil(io, [&] { return idle->ended; }));
@@ -96,29 +98,29 @@
   EXPECT_EQ(taken, std::vector<std::string>{"r1"});
 }
 
-// No descriptor can be had from here to the end of its scope, but those that others give back.
-class NoMoreDescriptors {
+// Limits the process to the descriptors that are open now, until the end of its scope.
+class DescriptorLimit {
  public:
-  NoMoreDescriptors() {
-    ::getrlimit(RLIMIT_NOFILE, &before_);
+  DescriptorLimit() {
+    ::getrlimit(RLIMIT_NOFILE, &original_);
     const int lowest = ::dup(STDERR_FILENO);
     ::close(lowest);
-    rlimit now = before_;
+    rlimit now = original_;
     now.rlim_cur = static_cast<rlim_t>(lowest);
     ::setrlimit(RLIMIT_NOFILE, &now);
   }
-  ~NoMoreDescriptors() { ::setrlimit(RLIMIT_NOFILE, &before_); }
-  NoMoreDescriptors(const NoMoreDescriptors&) = delete;
-  NoMoreDescriptors& operator=(const NoMoreDescriptors&) = delete;
+  ~DescriptorLimit() { ::setrlimit(RLIMIT_NOFILE, &original_); }
+  DescriptorLimit(const DescriptorLimit&) = delete;
+  DescriptorLimit& operator=(const DescriptorLimit&) = delete;
 
  private:
-  rlimit before_{};
+  rlimit original_{};
 };
 
-// Clients wait in the listener's queue when it is to close, and no descriptor is left to accept them with.
-// First with descriptors enough: the sanitizer of types takes some of its own for each type that it meets
-// first.
-TEST_F(EndingsTest, WhoWaitsAsTheListenerClosesIsTakenAsDescriptorsComeFree) {
+// Clients are in the listen queue when the listener is to close, and no descriptor is left to accept them
+// with. Runs first with enough descriptors, as the type sanitizer opens some of its own for each type that it
+// meets for the first time.
+TEST_F(RaceTest, QueuedClientsAreAcceptedAsDescriptorsBecomeAvailable) {
   Inbound::Events events;
   events.on_request = [&](const Inbound::SessionPtr& session, const RequestHead&, const BodyPtr&, Micros) {
     Inbound::Respond(session, TextResponse(http::status::ok, "ok"));
@@ -136,21 +138,21 @@
       waiting.push_back(Connect(io, inbound.address()));
       waiting.back()->Write(Get("r" + std::to_string(i)));
     }
-    std::optional<NoMoreDescriptors> none;
-    if (!enough) none.emplace();
+    std::optional<DescriptorLimit> limit;
+    if (!enough) limit.emplace();
     inbound.StopAccepting();
     for (const auto& client : waiting) EXPECT_EQ(Status(*client), "200");
-    EXPECT_EQ(idle->ended, !enough);  // its place was needed
+    EXPECT_EQ(idle->ended, !enough);  // its descriptor was needed
     inbound.CloseIdle();
     EXPECT_TRUE(RunUntil(io, [&] { return !inbound.holds_connections(); }));
   }
 }
 
-// Many clients wait for a descriptor: each gets the one that the client before it has no more use for, as
-// soon as that one has its answer. Accepting rested 50 ms for each instead, and most had given up by then.
-TEST_F(EndingsTest, ADescriptorThatComesFreeIsTheNextClientsAtOnce) {
+// Many clients wait for a descriptor: each must be accepted as soon as the client before it is answered.
+// Guards against a pause of 50 ms before each accept, by the end of which most clients have given up.
+TEST_F(RaceTest, AClosedConnectionsDescriptorIsReusedAtOnce) {
   constexpr int kClients = 60;
-  constexpr auto kMostTime = 500ms;  // they took 6 s
+  constexpr auto kMaxTime = 500ms;  // 6 s with the pauses
   Inbound::Events events;
   events.on_request = [&](const Inbound::SessionPtr& session, const RequestHead&, const BodyPtr&, Micros) {
     Inbound::Respond(session, TextResponse(http::status::ok, "ok"));
@@ -166,32 +168,32 @@
     ASSERT_EQ(Status(*idle), "200");
     std::vector<std::shared_ptr<Peer>> waiting;
     for (int i = 0; i < kClients; ++i) waiting.push_back(Connect(io, inbound.address()));
-    std::optional<NoMoreDescriptors> none;
-    if (!enough) none.emplace();
+    std::optional<DescriptorLimit> limit;
+    if (!enough) limit.emplace();
     const auto begin = std::chrono::steady_clock::now();
     for (const auto& client : waiting) client->Write(Get("r1"));
     for (const auto& client : waiting) EXPECT_EQ(Status(*client), "200");
-    EXPECT_LT(std::chrono::steady_clock::now() - begin, kMostTime);
+    EXPECT_LT(std::chrono::steady_clock::now() - begin, kMaxTime);
     inbound.CloseListener();
     inbound.CloseIdle();
     EXPECT_TRUE(RunUntil(io, [&] { return !inbound.holds_connections(); }));
   }
 }
 
-// Who connects has 2.5 s for a request (kMostReading), whatever it sends of it.
-constexpr auto kTimeToSend = 2500ms;
+// A client has 2.5 s for its request (kRequestTimeout in inbound.cpp), whatever part of it arrives.
+constexpr auto kRequestTimeout = 2500ms;
 
-// The deadline's handler is in the queue behind the one that reads the request's last byte.
-TEST_F(EndingsTest, ARequestWhoseLastByteComesWithItsDeadlineIsAnswered) {
+// The handler of the deadline is queued behind the handler that reads the request's last byte.
+TEST_F(RaceTest, ARequestWhoseLastByteArrivesAtItsDeadlineIsAnswered) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
   const std::string text = Get("r1");
   for (const std::size_t early : {std::size_t{0}, text.size() / 2}) {
     const auto begin = std::chrono::steady_clock::now();
     const auto client = Client(text.substr(0, early));
-    RunUntil(io, [&] { return std::chrono::steady_clock::now() > begin + kTimeToSend - 300ms; });
+    RunUntil(io, [&] { return std::chrono::steady_clock::now() > begin + kRequestTimeout - 300ms; });
     asio::post(io, [&] {
-      HoldUntil(begin + kTimeToSend + 100ms);
+      HoldUntil(begin + kRequestTimeout + 100ms);
       client->Write(text.substr(early));
     });
     const std::string status = Status(*client);
@@ -199,8 +201,9 @@
   }
 }
 
-// An end of what it sends cannot be told from a close: it has left, and its attempt ends.
-TEST_F(EndingsTest, AClientThatHalfClosesHasLeft) {
+// A half-close cannot be distinguished from a close: it counts as a disconnection, and the attempt is
+// cancelled.
+TEST_F(RaceTest, AHalfCloseCountsAsADisconnection) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   const auto client = Client(Get("r1"));
@@ -211,19 +214,21 @@
   EXPECT_EQ(client->received, "");
 }
 
-// A client's connection waits in the listener's queue, and it leaves there: its request and its close are
-// read one after the other. Its request was sent on between the two, however long ago it had left.
-TEST_F(EndingsTest, AClientThatLeavesInTheListenersQueueIsNotSentOnFor) {
+// A client disconnects while its connection is in the listen queue: its request and its FIN are read one
+// after the other. Guards against forwarding the request between the two, no matter how long ago
+// the client disconnected.
+TEST_F(RaceTest, ARequestOfAClientThatDisconnectsInTheListenQueueIsNotForwarded) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
-  ASSERT_EQ(Ask(Get("r1")), "200");  // its server's connection is kept, so that the next is written at once
+  ASSERT_EQ(Ask(Get("r1")), "200");  // keeps a server connection, so that the next request is written at once
   Client(Get("r2"))->Close();
   EXPECT_EQ(Ask(Get("r3")), "200");
   EXPECT_EQ(server.requests(), 2);
 }
 
-// A long body is not read on while its request waits for another try, and its client's close lies behind it.
-TEST_F(EndingsTest, AClientThatLeavesBehindALongBodyIsNotSentOnFor) {
+// A long body is not read further while its request waits for a retry, so the client's FIN is behind unread
+// data.
+TEST_F(RaceTest, ADisconnectBehindALongBodyCancelsTheRequest) {
   ScriptedServer server(
       io, [](Peer& peer) { peer.Write(Reply("503 Service Unavailable", "", "Srv-Declined: 1\r\n")); });
   Start({Entry("s1", server.address)});
@@ -232,17 +237,18 @@
       "300000\r\n\r\n";
   const auto client = Client(head + std::string(90'000, 'x'));
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
-  Tell(List(2, false, {Entry("s1", server.address, "draining")}));  // it waits, and nobody can be tried
+  Tell(
+      List(2, false, {Entry("s1", server.address, "draining")}));  // the request waits: no server is eligible
   client->Close();
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
-  EXPECT_EQ(Figure("downstream_requests.look.rejected"), "0");  // it was not held until its waits were over
+  EXPECT_EQ(Figure("downstream_requests.look.rejected"), "0");  // it ended before its retries did
   EXPECT_EQ(Figure("downstream_requests.look.failed"), "0");
 }
 
-// Nothing is read either of a client that has sent more requests than are held for it.
-class LeavingTest : public EndingsTest, public ::testing::WithParamInterface<bool> {};
+// Nothing is read from a client either that has pipelined more requests than its buffer holds.
+class DisconnectTest : public RaceTest, public ::testing::WithParamInterface<bool> {};
 
-TEST_P(LeavingTest, AClientThatLeavesBehindManyRequestsIsNotSentOnFor) {
+TEST_P(DisconnectTest, ADisconnectBehindPipelinedRequestsCancelsThem) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   std::string text;
@@ -252,7 +258,7 @@
   client->Write(text);
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
   io.restart();
-  while (io.poll() > 0) {  // what is read of it is read; the rest waits
+  while (io.poll() > 0) {  // reads as much as the buffer holds
   }
   GetParam() ? client->Reset() : client->Close();
   ASSERT_TRUE(RunUntil(io, [&] { return server.peers[0]->ended; }));
@@ -260,37 +266,37 @@
   EXPECT_EQ(server.requests(), 1);
 }
 
-INSTANTIATE_TEST_SUITE_P(ByReset, LeavingTest, ::testing::Bool());
+INSTANTIATE_TEST_SUITE_P(ByReset, DisconnectTest, ::testing::Bool());
 
-// A listener whose queue is full: who connects gets no word until it is opened, and then within a second or
-// so.
-class LateServer {
+// A listener with a full backlog: connections are not established until Accept is called, and then within
+// about a second.
+class FullBacklogServer {
  public:
-  explicit LateServer(asio::io_context& io) : acceptor_(io, Tcp::v4()) {
+  explicit FullBacklogServer(asio::io_context& io) : acceptor_(io, Tcp::v4()) {
     acceptor_.bind(Loopback());
     acceptor_.listen(0);
-    // How many a queue of none holds is the system's to say.
-    for (bool up = true; up && fillers_.size() < 16;) {
-      Tcp::socket& filler = fillers_.emplace_back(io, Tcp::v4());
-      filler.native_non_blocking(true);
+    // The kernel decides how many connections fit into a backlog of 0.
+    for (bool up = true; up && backlog_.size() < 16;) {
+      Tcp::socket& connection = backlog_.emplace_back(io, Tcp::v4());
+      connection.native_non_blocking(true);
       const Tcp::endpoint to = acceptor_.local_endpoint();
-      ::connect(filler.native_handle(), to.data(), static_cast<socklen_t>(to.size()));
-      pollfd one{filler.native_handle(), POLLOUT, 0};
+      ::connect(connection.native_handle(), to.data(), static_cast<socklen_t>(to.size()));
+      pollfd one{connection.native_handle(), POLLOUT, 0};
       up = ::poll(&one, 1, 50) > 0;
     }
   }
   Tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-  void Open() {
+  void Accept() {
     acceptor_.async_accept([this](ErrorCode error, Tcp::socket socket) {
       if (error) return;
       peers.push_back(std::make_shared<Peer>(std::move(socket)));
       peers.back()->Read();
-      Open();
+      Accept();
     });
   }
-  // Makes room without the loop, until the connection that waits for it has come up.
-  void AwaitOne() {
-    fillers_.clear();
+  // Empties the backlog, without the event loop, until the waiting connection is established.
+  void AwaitConnection() {
+    backlog_.clear();
     acceptor_.non_blocking(true);
     for (ErrorCode error; !error;) acceptor_.accept(error);
     pollfd one{acceptor_.native_handle(), POLLIN, 0};
@@ -305,26 +311,26 @@
 
  private:
   Tcp::acceptor acceptor_;
-  std::list<Tcp::socket> fillers_;
+  std::list<Tcp::socket> backlog_;
 };
 
-void LongDials(nlohmann::json& json) { json["settings"]["allowed"]["dial_timeout_us"] = 10'000'000; }
+void UseLongDialTimeout(nlohmann::json& json) { json["settings"]["allowed"]["dial_timeout_us"] = 10'000'000; }
 
-// Whether attempts may be called off or not: one of which nothing is written has not begun.
-class DialTest : public EndingsTest, public ::testing::WithParamInterface<bool> {};
+// With and without permission to cancel attempts: an attempt of which nothing is written has not started.
+class DialTest : public RaceTest, public ::testing::WithParamInterface<bool> {};
 
-TEST_P(DialTest, WritesNothingForAClientThatHasLeft) {
-  LateServer server(io);
+TEST_P(DialTest, WritesNothingForAClientThatHasDisconnected) {
+  FullBacklogServer server(io);
   Start({Entry("s1", server.address())}, [](nlohmann::json& json) {
-    LongDials(json);
+    UseLongDialTimeout(json);
     json["settings"]["allowed"]["cancel"] = GetParam();
   });
   const auto client = Client(Post("port", "r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->upstream_connections() == 1; }));
   client->Close();
-  ASSERT_TRUE(RunUntil(io, [&] { return Figure("pending") == "0"; }));  // it knows
+  ASSERT_TRUE(RunUntil(io, [&] { return Figure("pending") == "0"; }));  // the disconnection has been noticed
   ASSERT_EQ(Figure("upstream_requests"), "0") << "the dial was to wait";
-  server.Open();
+  server.Accept();
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->upstream_connections() == 0 || server.requests() > 0; }));
   EXPECT_EQ(server.requests(), 0);
   EXPECT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
@@ -332,16 +338,16 @@
 
 INSTANTIATE_TEST_SUITE_P(MayCancel, DialTest, ::testing::Bool());
 
-// What a server is told counts from the moment in which it is written, not in which it was decided.
-TEST_F(EndingsTest, AfterALateDialTheServerIsToldWhatIsLeft) {
-  LateServer server(io);
-  Start({Entry("s1", server.address())}, LongDials);
+// The deadline header is computed when the request is written, not when the attempt was decided.
+TEST_F(RaceTest, AfterASlowDialTheDeadlineHeaderHasTheRemainingTime) {
+  FullBacklogServer server(io);
+  Start({Entry("s1", server.address())}, UseLongDialTimeout);
   const auto begin = std::chrono::steady_clock::now();
   const auto client = Client(Post("port", "r1"));  // 5 s
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->upstream_connections() == 1; }));
   ASSERT_TRUE(RunUntil(io, [&] { return std::chrono::steady_clock::now() > begin + 400ms; }));
   ASSERT_EQ(Figure("upstream_requests"), "0") << "the dial was to wait";
-  server.Open();
+  server.Accept();
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
   const std::string& sent = server.peers.back()->received;
   const std::size_t at = sent.find("Req-Deadline: ");
@@ -349,92 +355,94 @@
   EXPECT_LT(std::stod(sent.substr(at + 14)), 4.6);
 }
 
-// A request that came behind another one waits for that one's end, and its time has run since it came.
-TEST_F(EndingsTest, ARequestBehindOneThatTimesOutHasWhatIsLeftOfItsTime) {
+// A pipelined request waits for the one before it; its deadline counts from its arrival.
+TEST_F(RaceTest, APipelinedRequestBehindATimeoutHasItsRemainingTime) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   const auto begin = std::chrono::steady_clock::now();
   const auto client = Client(Post("port", "r1", "0.6") + Post("port", "r2", "3.0"));
-  EXPECT_EQ(Status(*client), "502");  // a fifth at most is kept for the answer: not before 0.48 s
+  // At most a fifth of 0.6 s is reserved for the response, so it does not come before 0.48 s.
+  EXPECT_EQ(Status(*client), "502");
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 2; }));
   const std::string& sent = server.peers.back()->received;
   const std::size_t at = sent.find("Req-Deadline: ", sent.find("Req-Id: r2"));
   ASSERT_NE(at, std::string::npos) << sent;
   EXPECT_LT(std::stod(sent.substr(at + 14)), 3.0 - 0.48);
   EXPECT_EQ(Status(*client, 2), "502");
-  EXPECT_GT(std::chrono::steady_clock::now(), begin + 2400ms);  // no less than it had either
+  EXPECT_GT(std::chrono::steady_clock::now(), begin + 2400ms);  // and it had no less time than that
 }
 
-// ---- The list ----
+// ---- Server list updates ----
 
-// A process that stands still finds what came meanwhile in the order in which it came: a request, or the end
-// of a dial, in front of the list that tells of its server's end. Half of the grace is over when it goes on.
-class StoodStillTest : public EndingsTest {
+// After a stall, the event loop finds events in the order of their arrival: a request, or the completion of a
+// dial, is ahead of the list update that drains its server. The sidecar must apply the update first, as half
+// of the drain grace has passed when it resumes.
+class StalledLoopTest : public RaceTest {
  protected:
-  static constexpr auto kStood = 250ms;  // of 500 ms (ConfigJson)
+  static constexpr auto kStall = 250ms;  // of 500 ms (ConfigJson)
 
-  void StandStillAndHear(const std::string& id, const Tcp::endpoint& drains, const Tcp::endpoint& comes) {
-    Tell(List(2, false, {Entry(id, drains, "draining"), Entry("comes", comes)}));
-    HoldUntil(std::chrono::steady_clock::now() + kStood);
+  void SendListAndStall(const std::string& id, const Tcp::endpoint& drains, const Tcp::endpoint& added) {
+    Tell(List(2, false, {Entry(id, drains, "draining"), Entry("comes", added)}));
+    HoldUntil(std::chrono::steady_clock::now() + kStall);
   }
 };
 
-TEST_F(StoodStillTest, AListGoesBeforeTheRequestsInFrontOfIt) {
+TEST_F(StalledLoopTest, AListUpdateIsAppliedBeforeEarlierRequests) {
   ScriptedServer server(io, Serves("drains"));
   ScriptedServer other(io, Serves("ok"));
   Start({Entry("s1", server.address)});
   const auto client = Client(Get("r1"));
   ASSERT_EQ(Status(*client), "200");
   client->Write(Get("r2"));
-  StandStillAndHear("s1", server.address, other.address);
+  SendListAndStall("s1", server.address, other.address);
   EXPECT_EQ(Status(*client, 2), "200");
   EXPECT_EQ(server.requests(), 1);
   EXPECT_EQ(other.requests(), 1);
 }
 
-TEST_F(StoodStillTest, AListGoesBeforeTheDialThatCameUpInFrontOfIt) {
-  LateServer server(io);
+TEST_F(StalledLoopTest, AListUpdateIsAppliedBeforeAnEarlierDialIsUsed) {
+  FullBacklogServer server(io);
   ScriptedServer other(io, Serves("ok"));
-  Start({Entry("s1", server.address())}, LongDials);
+  Start({Entry("s1", server.address())}, UseLongDialTimeout);
   const auto client = Client(Get("r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->upstream_connections() == 1; }));
-  server.AwaitOne();
-  StandStillAndHear("s1", server.address(), other.address);
-  server.Open();
+  server.AwaitConnection();
+  SendListAndStall("s1", server.address(), other.address);
+  server.Accept();
   EXPECT_EQ(Status(*client), "200");
   EXPECT_EQ(server.requests(), 0);
 }
 
 // ---- SIGTERM ----
 
-TEST_F(EndingsTest, WhatComesInTheTurnOfTheDrainIsServed) {
+TEST_F(RaceTest, RequestsThatArriveAsTheDrainStartsAreServed) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
-  const auto asked = Client(Get("asked"));
+  const auto in_flight = Client(Get("asked"));
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
-  const auto half = Client("GET /api?obj=k1 HTTP/1.1\r\nHost: ori");
+  const auto partial = Client("GET /api?obj=k1 HTTP/1.1\r\nHost: ori");
   io.restart();
-  while (io.poll() > 0) {  // half a line is read
+  while (io.poll() > 0) {  // a partial line is read
   }
-  const auto comes = Client(Get("comes"));            // connected and written, not accepted
-  server.peers[0]->Write("HTTP/1.1 200 OK\r\nCont");  // an answer's first bytes, not read
+  const auto queued = Client(Get("comes"));           // connected, request sent, not accepted
+  server.peers[0]->Write("HTTP/1.1 200 OK\r\nCont");  // the first bytes of a response, not read
   bool finished = false;
   sidecar->Drain([&] { finished = true; });
   server.on_data = Serves("ok");
   server.peers[0]->Write("ent-Length: 4\r\n\r\nlast");
-  half->Write("gin.svc\r\nReq-Id: half\r\nReq-Kind: look\r\nReq-Deadline: 5.0\r\n\r\n");
-  for (const auto& client : {asked, comes, half}) {
+  partial->Write("gin.svc\r\nReq-Id: half\r\nReq-Kind: look\r\nReq-Deadline: 5.0\r\n\r\n");
+  for (const auto& client : {in_flight, queued, partial}) {
     EXPECT_EQ(Status(*client), "200");
     EXPECT_NE(client->received.find("Connection: close\r\n"), std::string::npos);
   }
-  EXPECT_NE(asked->received.find("\r\n\r\nlast"), std::string::npos);
-  for (const auto& client : {asked, comes, half}) client->Close();
+  EXPECT_NE(in_flight->received.find("\r\n\r\nlast"), std::string::npos);
+  for (const auto& client : {in_flight, queued, partial}) client->Close();
   EXPECT_TRUE(RunUntil(io, [&] { return finished; }));
 }
 
-// A client that does not read yet has sent more than is read when its answer closes the connection: a close
-// over unread bytes would reset it, and take the answer along. What came behind is not sent on.
-TEST_F(EndingsTest, AnAnswerThatClosesItsConnectionArrivesBeforeUnreadBytes) {
+// The sidecar closes a connection after a response while unread input is left. A plain close would reset the
+// connection, and the client would lose the response. The requests behind it are not forwarded.
+TEST_F(RaceTest, AFinalResponseIsDeliveredDespiteUnreadInput) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   const auto client = std::make_shared<Peer>(Tcp::socket(io));
@@ -447,7 +455,7 @@
   sidecar->Drain([&] { finished = true; });
   server.peers[0]->Write(Reply("200 OK", "whole"));
   ASSERT_TRUE(RunUntil(io, [&] { return finished; }));
-  sidecar.reset();  // its process is gone
+  sidecar.reset();  // as if the process had exited
   std::string received;
   ErrorCode how;
   for (std::array<char, 4096> piece{}; !how;) {
@@ -460,9 +468,10 @@
   EXPECT_EQ(server.requests(), 1);
 }
 
-// Nothing is held when idle connections are closed, so the drain waits for the last connection to go. A
-// long request that comes on it then has no deadline until its last byte, and was held past the kill.
-TEST_F(EndingsTest, ALongRequestThatComesLateInTheDrainIsAnswered) {
+// No request is in progress when idle connections are closed, so the drain waits for the last connection. A
+// long request that arrives on it has no deadline until its last byte. Guards against holding it until the
+// process is killed.
+TEST_F(RaceTest, ALongRequestThatArrivesLateInTheDrainIsAnswered) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)}, [](nlohmann::json& json) {
     for (auto& grade : json["settings"]["grades"]) grade["hard_limit_us"] = 1'000'000;
@@ -470,7 +479,7 @@
   const auto idle = Client("");
   const auto client = Client("POST /api HTTP/1.1\r\nReq-Id: r1\r\nReq-Kind: po");
   io.restart();
-  while (io.poll() > 0) {  // both are accepted, and half a head is read
+  while (io.poll() > 0) {  // both are accepted, and a partial head is read
   }
   bool finished = false;
   sidecar->Drain([&] { finished = true; });
