--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -78,9 +78,9 @@
   return {free / 2, free / 5};
 }
 
-std::shared_ptr<Budget> BodyBudget(const Config& config) {
+std::shared_ptr<BufferBudget> BodyBudget(const Config& config) {
   const std::size_t share = config.passed_socket ? 2 * kBodyMemoryDivisor : kBodyMemoryDivisor;
-  return std::make_shared<Budget>(config.memory_mb * 1024 * 1024 / share);
+  return std::make_shared<BufferBudget>(config.memory_mb * 1024 * 1024 / share);
 }
 
 Upstream::Limits UpstreamLimits(const Config& config) {
@@ -138,7 +138,7 @@
   Inbound::Events events;
   events.on_request = [this](const Inbound::SessionPtr& session, RequestHead head, const BodyPtr& body,
                              Micros waited) { OnRequest(session, std::move(head), body, waited); };
-  events.on_gone = [this](const Inbound::SessionPtr& session) { OnClientClosed(session); };
+  events.on_client_disconnected = [this](const Inbound::SessionPtr& session) { OnClientClosed(session); };
   events.ready = [this] { return Ready(); };
   inbound_ = std::make_unique<Inbound>(io_, Listener(), DescriptorShares(config_).clients, budget_, events);
   if (config_.admin) {
@@ -254,22 +254,22 @@
   const Settings& settings = config_.wire.settings;
   const std::string id(View(head[kIdHeader]));
   const int request_class = ClassIndex(View(head[kClassHeader]));
-  if (id.empty()) return Inbound::Respond(session, Plain(http::status::bad_request, "no Req-Id\n"));
+  if (id.empty()) return Inbound::Respond(session, TextResponse(http::status::bad_request, "no Req-Id\n"));
   if (request_class < 0)
-    return Inbound::Respond(session, Plain(http::status::not_found, "unknown Req-Kind\n"));
+    return Inbound::Respond(session, TextResponse(http::status::not_found, "unknown Req-Kind\n"));
   if (calls_.count(id) > 0)
-    return Inbound::Respond(session, Plain(http::status::conflict, "Req-Id is in use\n"));
+    return Inbound::Respond(session, TextResponse(http::status::conflict, "Req-Id is in use\n"));
   Micros budget = settings.classes[static_cast<std::size_t>(request_class)].deadline;
   if (head.count(kDeadlineHeader) > 0) {
     const auto seconds = ParseNumber(View(head[kDeadlineHeader]));
     if (!seconds || *seconds < 0)
-      return Inbound::Respond(session, Plain(http::status::bad_request, "Req-Deadline\n"));
+      return Inbound::Respond(session, TextResponse(http::status::bad_request, "Req-Deadline\n"));
     budget = static_cast<Micros>(std::min(*seconds, 86'400.0) * static_cast<double>(kSecond));
   }
   const Micros now = NowForDecision();
   budget -= std::min(kResponseMargin, static_cast<Micros>(kMaxMarginShare * static_cast<double>(budget)));
   budget = std::max<Micros>(budget - waited, 0);
-  if (drain_.begun()) budget = std::min(budget, drain_.Left());
+  if (drain_.begun()) budget = std::min(budget, drain_.TimeUntilForcedResponses());
 
   Call& call = calls_[id];
   metrics_.RequestReceived();
@@ -289,7 +289,7 @@
   request.tenant = TenantIndex(View(call.head[kTenantHeader]));
   request.budget = budget;
   request.body_incomplete = !body->ended();
-  request.is_retry = call.head[kRepeatHeader] == "1";
+  request.is_retry = call.head[kRetryHeader] == "1";
   request.write = call.head.method() != http::verb::get;
   if (const auto cost = ParseNumber(View(call.head[kCostHeader])); cost && *cost >= 0 && *cost < 1e12)
     request.cost = static_cast<Micros>(*cost);
@@ -301,10 +301,10 @@
 
 // The callbacks post their work, as they may run during an action of the module, which must not be reentered.
 void Sidecar::FollowBody(const std::string& id, Body& body) {
-  body.on_dropped = [this, id] {
+  body.on_discarded = [this, id] {
     asio::post(io_, [this, id] { balancer_->OnRequestBodyDiscarded(NowForDecision(), id); });
   };
-  body.on_end = [this, id] { asio::post(io_, [this, id] { OnBodyReceived(id); }); };
+  body.on_complete = [this, id] { asio::post(io_, [this, id] { OnBodyReceived(id); }); };
 }
 
 // The last byte of a long request has been received: its time limit starts now.
@@ -314,7 +314,7 @@
   if (it == calls_.end() || it->second.session == nullptr) return;
   Call& call = it->second;
   call.deadline = now + call.budget;
-  if (drain_.begun()) call.deadline = std::min(call.deadline, now + drain_.Left());
+  if (drain_.begun()) call.deadline = std::min(call.deadline, now + drain_.TimeUntilForcedResponses());
   for (Attempt& attempt : call.attempts) {
     attempt.sent = now;
     attempt.expires = call.deadline;
@@ -382,7 +382,7 @@
 void Sidecar::SendResponse(Call& call, HttpResponse response) {
   ResponseHead head;
   head.base() = std::move(response.base());
-  SendResponse(call, std::move(head), Body::Whole(std::move(response.body())));
+  SendResponse(call, std::move(head), Body::FromString(std::move(response.body())));
 }
 
 void Sidecar::SendResponse(Call& call, ResponseHead head, BodyPtr body) {
@@ -420,7 +420,7 @@
   }
   if (now >= it->second.deadline && it->second.session != nullptr) {
     // The module ends requests earlier. This ensures that the client gets a response even if it does not.
-    SendResponse(it->second, Plain(http::status::gateway_timeout, "out of time\n"));
+    SendResponse(it->second, TextResponse(http::status::gateway_timeout, "out of time\n"));
     balancer_->OnClientDisconnected(now, id);
     return EraseIfFinished(id);
   }
@@ -431,7 +431,7 @@
   const auto it = calls_.find(id);
   if (it == calls_.end() || it->second.session != nullptr || it->second.HasAttemptInFlight()) return;
   calls_.erase(it);
-  if (calls_.empty()) drain_.OnSettled();
+  if (calls_.empty()) drain_.OnRequestFinished();
 }
 
 RequestHead Sidecar::Forwarded(const Call& call) {
@@ -472,7 +472,7 @@
   attempt.sent = now;
   attempt.expires = timeout > 0 ? std::min(call.deadline, now + timeout) : call.deadline;
   // A body of which a part has been discarded cannot be sent again; the module has been informed.
-  if (call.session == nullptr || now >= attempt.expires || !call.body->complete()) {
+  if (call.session == nullptr || now >= attempt.expires || !call.body->replayable()) {
     call.attempts.push_back(attempt);
     asio::post(io_, [this, id, number] { ReportOutcome(id, number, Result::kNeverSent); });
     return;
@@ -503,8 +503,8 @@
 void Sidecar::Reject(std::string_view request, Micros retry_after) {
   const auto it = calls_.find(std::string(request));
   if (it == calls_.end() || it->second.session == nullptr) return;
-  HttpResponse response = Plain(http::status::service_unavailable, "refused\n");
-  if (retry_after > 0) response.set(http::field::retry_after, InSeconds(retry_after));
+  HttpResponse response = TextResponse(http::status::service_unavailable, "refused\n");
+  if (retry_after > 0) response.set(http::field::retry_after, FormatSeconds(retry_after));
   SendResponse(it->second, std::move(response));
   PostErase(it->first);
 }
@@ -512,7 +512,7 @@
 void Sidecar::Fail(std::string_view request) {
   const auto it = calls_.find(std::string(request));
   if (it == calls_.end() || it->second.session == nullptr) return;
-  SendResponse(it->second, Plain(http::status::bad_gateway, "failed\n"));
+  SendResponse(it->second, TextResponse(http::status::bad_gateway, "failed\n"));
   PostErase(it->first);
 }
 
@@ -546,12 +546,12 @@
 void Sidecar::Drain(std::function<void()> finished) {
   sidecar::Drain::Steps steps;
   steps.stop_accepting = [this] { inbound_->StopAccepting(); };
-  steps.leave_queue = [this] { inbound_->LeaveQueue(); };
+  steps.close_listener = [this] { inbound_->CloseListener(); };
   steps.close_idle = [this] { inbound_->CloseIdle(); };
-  steps.hurry = [this] { ExpireCalls(); };
+  steps.fail_requests = [this] { ExpireCalls(); };
   steps.holds_requests = [this] { return !calls_.empty(); };
   steps.holds_connections = [this] { return inbound_->holds_connections(); };
-  inbound_->CloseAfterAnswers();
+  inbound_->CloseAfterResponses();
   drain_.Begin(std::move(steps), std::move(finished));
 }
 
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -110,7 +110,7 @@
   asio::io_context& io_;
   const Config config_;
   const Micros clock_offset_;
-  const std::shared_ptr<Budget> budget_;  // memory for all bodies
+  const std::shared_ptr<BufferBudget> budget_;  // memory for all bodies
   std::unique_ptr<Balancer> balancer_;
   Metrics metrics_;
   std::unique_ptr<LastList> last_list_;  // null if the list is not stored
--- a/src/sidecar/upstream.cpp
+++ b/src/sidecar/upstream.cpp
@@ -25,7 +25,7 @@
 // Maximum pause of a server within a response that is being streamed.
 constexpr auto kMaxResponsePause = std::chrono::seconds(6);
 
-using Response = http::response<PieceBody>;
+using Response = http::response<IncrementalBody>;
 
 bool Declined(const Response& response) {
   const bool status = response.result() == http::status::service_unavailable ||
@@ -166,7 +166,7 @@
   // Connecting has used up a part of the time that was left when the attempt was sent.
   void UpdateDeadlineHeader() {
     const auto left = std::chrono::duration_cast<std::chrono::microseconds>(*job_->deadline - Clock::now());
-    job_->head.set(kDeadlineHeader, InSeconds(std::max<Micros>(left.count(), 0)));
+    job_->head.set(kDeadlineHeader, FormatSeconds(std::max<Micros>(left.count(), 0)));
   }
 
   void Write() {
@@ -183,7 +183,7 @@
     // GET and HEAD requests without a body carry no Content-Length, as is usual.
     const bool may_have_body = head.method() != http::verb::get && head.method() != http::verb::head;
     if (body.length && (*body.length > 0 || may_have_body)) head.content_length(*body.length);
-    writer_.Start(shared_from_this(), Text(head), job_->body, chunked,
+    writer_.Start(shared_from_this(), SerializeHead(head), job_->body, chunked,
                   [self = shared_from_this()](ErrorCode error) { self->OnWritten(error); });
   }
 
@@ -194,7 +194,7 @@
     // A server does not execute an incomplete request. If the client stopped sending the body, the server is
     // not at fault.
     if (error)
-      return Finish(job_->body->broken() ? Result::kCancelled : Result::kUnreachable, /*reuse=*/false);
+      return Finish(job_->body->failed() ? Result::kCancelled : Result::kUnreachable, /*reuse=*/false);
     if (pool_.hooks_.request_written) pool_.hooks_.request_written();
     if (closed_by_peer_) Finish(Result::kReset, /*reuse=*/false);
   }
@@ -203,7 +203,7 @@
   // Reading pauses only while the response body has no room.
   void Read() {
     if (reading_ || closed_) return;
-    if (response_body_ != nullptr && !response_body_->HasRoom()) {
+    if (response_body_ != nullptr && !response_body_->HasCapacity()) {
       if (streaming_) timer_.cancel();  // the reader is slow, not the server
       return;
     }
@@ -244,7 +244,7 @@
   // is too long.
   bool Parse() {
     while (buffer_.size() > 0 && !parser_->is_done()) {
-      if (response_body_ != nullptr && !response_body_->HasRoom()) return true;
+      if (response_body_ != nullptr && !response_body_->HasCapacity()) return true;
       ErrorCode error;
       const bool had_head = parser_->is_header_done();
       const std::size_t used = parser_->put(buffer_.data(), error);
@@ -274,8 +274,8 @@
   // arrived together with the header, and then accepts as much as the server sends.
   void ResetParser() {
     parser_.emplace();
-    parser_->header_limit(kMostHeader);
-    parser_->body_limit(kMostBody);
+    parser_->header_limit(kMaxHeaderBytes);
+    parser_->body_limit(kMaxBodyBytes);
     streaming_ = false;
     response_body_ = nullptr;
     discarded_bytes_ = 0;
@@ -289,14 +289,14 @@
     const std::weak_ptr<Connection> weak = shared_from_this();
     // Both are posted: the reader of the body may be called from within this connection, which must not be
     // reentered.
-    response_body_->on_room = [weak] {
+    response_body_->on_capacity = [weak] {
       if (const auto self = weak.lock()) asio::post(self->pool_.io_, [self] { self->OnRoom(); });
     };
     response_body_->on_abandoned = [weak] {
       if (const auto self = weak.lock()) asio::post(self->pool_.io_, [self] { self->OnAbandoned(); });
     };
     if (parser_->is_done()) return;
-    if (response_body_->length && *response_body_->length > kMostHeld) return StartStreaming();
+    if (response_body_->length && *response_body_->length > kMaxBufferedBodyBytes) return StartStreaming();
     if (!response_body_->length) StartTimer(kMaxBufferingTime, [this] { StartStreaming(); });
   }
 
@@ -306,10 +306,10 @@
     if (response_body_ == nullptr) {
       discarded_bytes_ += piece.size();
       piece.clear();
-      return discarded_bytes_ <= kMostHeld;
+      return discarded_bytes_ <= kMaxBufferedBodyBytes;
     }
     response_body_->Append(std::exchange(piece, {}));
-    if (!streaming_ && !parser_->is_done() && !response_body_->HasRoom()) StartStreaming();
+    if (!streaming_ && !parser_->is_done() && !response_body_->HasCapacity()) StartStreaming();
     return true;
   }
 
@@ -338,7 +338,7 @@
   }
 
   void BreakResponseBody() {
-    if (response_body_ != nullptr) std::exchange(response_body_, nullptr)->Break();
+    if (response_body_ != nullptr) std::exchange(response_body_, nullptr)->Fail();
   }
 
   // The peer closed or reset the connection. Only a close completes a body without length or chunks (RFC
@@ -390,8 +390,8 @@
   const std::uint64_t epoch_;
   Tcp::socket socket_;
   asio::steady_timer timer_;  // for connecting, then for the response
-  beast::flat_buffer buffer_{kMostUnparsed};
-  std::optional<http::response_parser<PieceBody>> parser_;
+  beast::flat_buffer buffer_{kMaxUnparsedBytes};
+  std::optional<http::response_parser<IncrementalBody>> parser_;
   std::optional<Job> job_;
   MessageWriter writer_;
   BodyPtr response_body_;            // of a successful response, from its head to its end
@@ -407,7 +407,7 @@
   bool closed_ = false;
 };
 
-Upstream::Upstream(asio::io_context& io, Limits limits, std::shared_ptr<Budget> budget, Hooks hooks)
+Upstream::Upstream(asio::io_context& io, Limits limits, std::shared_ptr<BufferBudget> budget, Hooks hooks)
     : io_(io), limits_(limits), budget_(std::move(budget)), hooks_(std::move(hooks)), sweep_(io) {}
 
 Upstream::~Upstream() {
@@ -466,7 +466,7 @@
   ConnectionPtr connection = AcquireIdle(*server);
   const AttemptId attempt = ++last_attempt_;
   const bool deadline_running = request.time_left > 0 && request.body->ended();
-  if (request.time_left > 0) request.head.set(kDeadlineHeader, InSeconds(request.time_left));
+  if (request.time_left > 0) request.head.set(kDeadlineHeader, FormatSeconds(request.time_left));
   Connection::Job job{
       attempt,     std::move(request.head), std::move(request.body), std::move(events), std::nullopt,
       std::nullopt};
--- a/tests/sidecar/upstream_test.cpp
+++ b/tests/sidecar/upstream_test.cpp
@@ -30,7 +30,7 @@
     events.response_started = [this](const ResponseHead&, const BodyPtr& response_body) {
       streamed.push_back(response_body);
     };
-    return upstream().Send(id, {head, Body::Whole(std::string(body, 'x')), 0, begin_within}, events);
+    return upstream().Send(id, {head, Body::FromString(std::string(body, 'x')), 0, begin_within}, events);
   }
   // Sends one request and waits for its result.
   Result SendAndWait(const std::string& id = "s1", std::size_t body = 0) {
@@ -55,7 +55,7 @@
   asio::io_context io;
   Upstream::Limits limits;
   Micros begin_within = 0;
-  std::shared_ptr<Budget> budget = std::make_shared<Budget>(1024 * 1024);
+  std::shared_ptr<BufferBudget> budget = std::make_shared<BufferBudget>(1024 * 1024);
   std::vector<UpstreamResponse> responses;
   std::vector<BodyPtr> streamed;  // bodies of streamed responses
 
@@ -65,7 +65,7 @@
 
 TEST_F(UpstreamTest, MapsStatusCodesToResults) {
   EXPECT_EQ(ResultOfReply(Reply("200 OK", "hello")), Result::kSuccess);
-  EXPECT_EQ(responses.back().body->From(0), "hello");
+  EXPECT_EQ(responses.back().body->DataFrom(0), "hello");
   EXPECT_EQ(ResultOfReply(Reply("503 Service Unavailable", "", "Srv-Declined: 1\r\n")), Result::kRejected);
   EXPECT_EQ(ResultOfReply(Reply("504 Gateway Timeout", "", "Srv-Declined: 1\r\n")), Result::kRejected);
   EXPECT_EQ(ResultOfReply(Reply("503 Service Unavailable", "")), Result::kError);
@@ -74,7 +74,7 @@
   EXPECT_EQ(ResultOfReply(Reply("500 Internal Server Error", "", "Srv-Declined: 1\r\n")), Result::kError);
   EXPECT_EQ(ResultOfReply("no HTTP at all\r\n\r\n"), Result::kError);
   EXPECT_EQ(ResultOfReply("HTTP/1.1 100 Continue\r\n\r\n" + Reply("200 OK", "later")), Result::kSuccess);
-  EXPECT_EQ(responses.back().body->From(0), "later");
+  EXPECT_EQ(responses.back().body->DataFrom(0), "later");
 }
 
 // A response over the size limit must be rejected whether Content-Length or a chunk size exceeds the limit,
@@ -87,27 +87,27 @@
   const std::string chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   EXPECT_EQ(ResultOfReply(chunked + "b2d05e00\r\nits first bytes"), Result::kError);
   EXPECT_TRUE(streamed.empty());
-  EXPECT_EQ(ResultOfReply(Reply("200 OK", std::string(kMostHeld, 'x'))), Result::kSuccess);
+  EXPECT_EQ(ResultOfReply(Reply("200 OK", std::string(kMaxBufferedBodyBytes, 'x'))), Result::kSuccess);
   EXPECT_TRUE(streamed.empty());
   EXPECT_EQ(ResultOfReply(chunked + "5\r\nhello\r\n1\r\n!\r\n0\r\n\r\n"), Result::kSuccess);
-  EXPECT_EQ(responses.back().body->From(0), "hello!");
+  EXPECT_EQ(responses.back().body->DataFrom(0), "hello!");
 }
 
 TEST_F(UpstreamTest, StreamsLongResponse) {
-  ScriptedServer server(io,
-                        [&](Peer& peer) { peer.Write(Reply("200 OK", std::string(kMostHeld + 1, 'x'))); });
+  ScriptedServer server(
+      io, [&](Peer& peer) { peer.Write(Reply("200 OK", std::string(kMaxBufferedBodyBytes + 1, 'x'))); });
   ApplyServer(server.address);
   Send();
   ASSERT_TRUE(RunUntil(io, [&] { return !streamed.empty(); }));
-  EXPECT_EQ(streamed[0]->length, kMostHeld + 1);
-  streamed[0]->Release();
+  EXPECT_EQ(streamed[0]->length, kMaxBufferedBodyBytes + 1);
+  streamed[0]->DisableReplay();
   std::uint64_t taken = 0;
   EXPECT_TRUE(RunUntil(io, [&] {
-    taken += streamed[0]->From(taken).size();
-    streamed[0]->Taken(taken);
+    taken += streamed[0]->DataFrom(taken).size();
+    streamed[0]->ConsumeUpTo(taken);
     return streamed[0]->ended();
   }));
-  EXPECT_EQ(streamed[0]->size(), kMostHeld + 1);
+  EXPECT_EQ(streamed[0]->size(), kMaxBufferedBodyBytes + 1);
   ASSERT_EQ(responses.size(), 1U);
   EXPECT_EQ(responses[0].result, Result::kSuccess);
   EXPECT_EQ(responses[0].body, nullptr);
@@ -115,13 +115,14 @@
 }
 
 TEST_F(UpstreamTest, StreamsResponseWhenMemoryBudgetIsSpent) {
-  budget->Take(1024 * 1024);
-  ScriptedServer server(io, [&](Peer& peer) { peer.Write(Reply("200 OK", std::string(kMostHeld, 'x'))); });
+  budget->Reserve(1024 * 1024);
+  ScriptedServer server(
+      io, [&](Peer& peer) { peer.Write(Reply("200 OK", std::string(kMaxBufferedBodyBytes, 'x'))); });
   ApplyServer(server.address);
   Send();
   ASSERT_TRUE(RunUntil(io, [&] { return !streamed.empty(); }));
   RunFor(io, 50ms);
-  EXPECT_LE(streamed[0]->size(), 2 * kPiece);
+  EXPECT_LE(streamed[0]->size(), 2 * kBlockBytes);
   streamed[0]->Abandon();
   ASSERT_TRUE(RunUntil(io, [&] { return !responses.empty(); }));
   EXPECT_EQ(responses[0].result, Result::kCancelled);
@@ -131,17 +132,17 @@
 // Regression test for a crash: the complete response was in the buffer, and consuming the body from within
 // the callback that started the streaming ended the attempt during that callback.
 TEST_F(UpstreamTest, ConsumingBodyInStartCallbackDoesNotEndAttemptReentrantly) {
-  budget->Take(2 * 1024 * 1024);
+  budget->Reserve(2 * 1024 * 1024);
   ScriptedServer server(io, [&](Peer& peer) {
-    peer.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4000\r\n" + std::string(kPiece, 'x') +
-               "\r\n0\r\n\r\n");
+    peer.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4000\r\n" +
+               std::string(kBlockBytes, 'x') + "\r\n0\r\n\r\n");
   });
   ApplyServer(server.address);
   bool done = false;
   bool ended_meanwhile = false;
   const auto take = [](Body& body) {
-    body.Release();
-    body.Taken(body.size());
+    body.DisableReplay();
+    body.ConsumeUpTo(body.size());
   };
   Upstream::Events events;
   events.done = [&](UpstreamResponse) { done = true; };
@@ -150,13 +151,13 @@
     take(*response_body);
     ended_meanwhile = done;
   };
-  upstream().Send("s1", {RequestHead(http::verb::get, "/api", 11), Body::Whole("")}, events);
+  upstream().Send("s1", {RequestHead(http::verb::get, "/api", 11), Body::FromString("")}, events);
   ASSERT_TRUE(RunUntil(io, [&] {
     if (!streamed.empty()) take(*streamed[0]);
     return done;
   }));
   EXPECT_FALSE(ended_meanwhile);
-  EXPECT_EQ(streamed[0]->size(), kPiece);
+  EXPECT_EQ(streamed[0]->size(), kBlockBytes);
 }
 
 TEST_F(UpstreamTest, FailureAfterLastRequestByteIsReset) {
@@ -185,7 +186,7 @@
   peer->Reset();
   ASSERT_TRUE(RunUntil(io, [&] { return responses.size() > before; }));
   EXPECT_EQ(responses.back().result, Result::kReset);
-  EXPECT_TRUE(streamed[0]->broken()) << "the client must be able to tell that the body is truncated";
+  EXPECT_TRUE(streamed[0]->failed()) << "the client must be able to tell that the body is truncated";
 }
 
 TEST_F(UpstreamTest, WritesNothingOnConnectionEstablishedTooLate) {
@@ -273,7 +274,7 @@
   ScriptedServer server(io, [](Peer& peer) { peer.Write(Reply("200 OK", "a") + Reply("200 OK", "stray")); });
   ApplyServer(server.address);
   EXPECT_EQ(SendAndWait(), Result::kSuccess);
-  EXPECT_EQ(responses.back().body->From(0), "a");
+  EXPECT_EQ(responses.back().body->DataFrom(0), "a");
   EXPECT_EQ(upstream().open_connections(), 0U);
 }
 
@@ -326,7 +327,7 @@
   EXPECT_EQ(upstream().open_connections(), 1U);
   server.peers[0]->Write(Reply("200 OK", "finished"));
   ASSERT_TRUE(RunUntil(io, [&] { return responses.size() == 2; }));
-  EXPECT_EQ(responses.back().body->From(0), "finished");
+  EXPECT_EQ(responses.back().body->DataFrom(0), "finished");
   EXPECT_EQ(upstream().open_connections(), 0U);
   EXPECT_EQ(SendAndWait(), Result::kUnreachable);
   EXPECT_EQ(server.requests(), 2);
@@ -375,7 +376,7 @@
   EXPECT_EQ(SendAndWait(), Result::kSuccess);
   ApplyServer(after.address);
   EXPECT_EQ(SendAndWait(), Result::kSuccess);
-  EXPECT_EQ(responses.back().body->From(0), "after");
+  EXPECT_EQ(responses.back().body->DataFrom(0), "after");
   EXPECT_EQ(upstream().open_connections(), 1U);
 }
 
@@ -395,7 +396,7 @@
   events.response_started = [&](const ResponseHead&, const BodyPtr& response_body) {
     streamed.push_back(response_body);
   };
-  upstream().Send("s1", {RequestHead(http::verb::get, "/api", 11), Body::Whole("")}, events);
+  upstream().Send("s1", {RequestHead(http::verb::get, "/api", 11), Body::FromString("")}, events);
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
   io.restart();
   while (io.poll() > 0) {  // the first part of the response is read, and the timer starts
@@ -414,7 +415,7 @@
 // handler runs when the connection already carries the next request: it must not be taken for the response
 // to that.
 TEST_F(UpstreamTest, DataReadBeforeRequestIsNotItsResponse) {
-  const std::string body(kMostHeld + 1, 'x');  // long enough to be streamed
+  const std::string body(kMaxBufferedBodyBytes + 1, 'x');  // long enough to be streamed
   ScriptedServer server(io, [&](Peer& peer) {
     if (peer.requests() == 1) peer.Write(Reply("200 OK", body));
   });
@@ -426,13 +427,13 @@
   };
   events.response_started = [&](const ResponseHead&, const BodyPtr& response_body) {
     streamed.push_back(response_body);
-    response_body->Release();
+    response_body->DisableReplay();
     response_body->on_data = [&, taken = response_body.get()] {
-      taken->Taken(taken->size());
+      taken->ConsumeUpTo(taken->size());
       if (taken->ended()) server.peers[0]->Write(Reply("200 OK", "unsolicited"));
     };
   };
-  upstream().Send("s1", {RequestHead(http::verb::get, "/api", 11), Body::Whole("")}, events);
+  upstream().Send("s1", {RequestHead(http::verb::get, "/api", 11), Body::FromString("")}, events);
   ASSERT_TRUE(RunUntil(io, [&] { return responses.size() == 2; }));
   streamed[0]->on_data = nullptr;
   EXPECT_EQ(server.peers.size(), 1U);              // the scenario requires one connection
