--- a/src/bench_adapter/balancer_types.hpp
+++ b/src/bench_adapter/balancer_types.hpp
@@ -1,4 +1,4 @@
-// The types of the decision module that the bench adapter uses under their short names.
+// Imports the balancer types that the bench adapter uses into its namespace.
 #ifndef VIOLETWING_BENCH_ADAPTER_BALANCER_TYPES_HPP_
 #define VIOLETWING_BENCH_ADAPTER_BALANCER_TYPES_HPP_
 
--- a/src/bench_adapter/host.cpp
+++ b/src/bench_adapter/host.cpp
@@ -8,15 +8,15 @@
 namespace violetwing::bench_adapter {
 namespace {
 
-constexpr std::string_view kPrefix = "sidecar/";
-constexpr std::int64_t kMostTimer = 71LL * 60 * 1'000'000;  // the wire's limit
+constexpr std::string_view kInstancePrefix = "sidecar/";
+constexpr std::int64_t kMaxTimerDelay = 71LL * 60 * 1'000'000;  // 71 minutes, the protocol's limit in us
 
-// Writes the actions of one instance as lines.
+// Appends the actions of one instance to the reply as protocol lines.
 class LineSink : public ActionSink {
  public:
-  LineSink(std::string& reply, std::string_view name) : reply_(reply), name_(name) {}
+  LineSink(std::string& reply, std::string_view name) : reply_(reply), instance_name_(name) {}
   void Send(std::string_view request, const std::string& server, Micros timeout,
-            Micros /*begin_within: in the simulator an attempt begins at once*/) override {
+            Micros /*begin_within: the simulator starts attempts at once*/) override {
     Begin("ROUTE").Word(request).Word(server).Number(timeout).End();
   }
   void Cancel(std::string_view request, int attempt) override {
@@ -27,7 +27,7 @@
   }
   void Fail(std::string_view request) override { Begin("FINISH_ERROR").Word(request).End(); }
   void SetTimer(Micros delay, std::uint64_t token) override {
-    Begin("SLEEP").Number(std::clamp<std::int64_t>(delay, 0, kMostTimer)).Number(token).End();
+    Begin("SLEEP").Number(std::clamp<std::int64_t>(delay, 0, kMaxTimerDelay)).Number(token).End();
   }
   void Subscribe() override { Begin("OBSERVE").Word("1").End(); }
   void Log(std::string_view text) override { Begin("TRACE").Word(text).End(); }
@@ -40,7 +40,7 @@
  private:
   LineSink& Begin(std::string_view verb) {
     reply_.append(verb);
-    return Word(name_);
+    return Word(instance_name_);
   }
   LineSink& Word(std::string_view word) {
     reply_.push_back(' ');
@@ -56,21 +56,24 @@
   void End() { reply_.push_back('\n'); }
 
   std::string& reply_;
-  const std::string name_;
+  const std::string instance_name_;
 };
 
 }  // namespace
 
+// One simulated sidecar: its settings, its balancer and the sink for the balancer's actions.
 class Host::Instance {
  public:
-  Instance(std::string_view name, std::uint64_t seed, WireSettings wire, Micros now, std::string& reply)
-      : sink_(reply, name), wire_(std::move(wire)) {
+  Instance(std::string_view name, std::uint64_t seed, WireSettings wire_settings, Micros now,
+           std::string& reply)
+      : sink_(reply, name), wire_settings_(std::move(wire_settings)) {
     std::string error;
-    balancer_ = Balancer::Create(wire_.settings, seed, now, sink_, error);
+    balancer_ = Balancer::Create(wire_settings_.settings, seed, now, sink_, error);
     if (balancer_ == nullptr) sink_.Fatal("settings: " + error);
   }
 
-  // Runs an event in the decision code; what it throws is reported, not passed on.
+  // Passes an event to the balancer. An exception is reported as FATAL and ends this instance's balancer; it
+  // does not propagate, so that the other instances keep running.
   template <typename Event>
   void Run(Event event) {
     if (balancer_ == nullptr) return;
@@ -81,59 +84,61 @@
       balancer_ = nullptr;
     }
   }
-  void Servers(Micros now, ListUpdate::Kind kind, std::int64_t version, const std::vector<Row>* rows) {
+  void UpdateServers(Micros now, ListUpdate::Kind kind, std::int64_t version, const std::vector<Row>* rows) {
     std::vector<ServerInfo> servers;
     if (rows != nullptr) {
       servers.reserve(rows->size());
       for (const Row& row : *rows) {
         servers.push_back(row.info);
-        servers.back().zone = IndexOf(wire_.zones, row.zone);
-        servers.back().machine = IndexOf(wire_.machines, row.machine);
+        servers.back().zone = IndexOf(wire_settings_.zones, row.zone);
+        servers.back().machine = IndexOf(wire_settings_.machines, row.machine);
       }
     }
     Run([&](Balancer& b) { b.OnServers(now, {kind, version, servers}); });
   }
-  int ClassIndex(std::string_view name) const { return Named(wire_.settings.classes, name, "class"); }
+  int ClassIndex(std::string_view name) const {
+    return IndexByName(wire_settings_.settings.classes, name, "class");
+  }
   int TenantIndex(std::string_view name) const {
     if (name == "-" || name == "0") return -1;
-    return Named(wire_.settings.tenants, name, "tenant");
+    return IndexByName(wire_settings_.settings.tenants, name, "tenant");
   }
 
  private:
   template <typename List>
-  static int Named(const List& list, std::string_view name, const char* what) {
+  static int IndexByName(const List& list, std::string_view name, const char* what) {
     for (std::size_t i = 0; i < list.size(); ++i)
       if (list[i].name == name) return static_cast<int>(i);
     throw WireError(std::string(what) + " '" + std::string(name.substr(0, 80)) + "': not in the settings");
   }
 
   LineSink sink_;
-  WireSettings wire_;
+  WireSettings wire_settings_;
   std::unique_ptr<Balancer> balancer_;
 };
 
 Host::Host() = default;
 Host::~Host() = default;
 
-bool Host::Line(std::string_view line) {
+bool Host::ProcessLine(std::string_view line) {
   ++line_number_;
   try {
     Fields fields(line);
     const std::string_view verb = fields.Word("verb");
     if (verb == "BEGIN_BATCH") {
-      if (in_batch_) throw WireError("a batch is open already");
+      if (in_batch_) throw WireError("previous batch is still open");
       const Micros now = fields.NonNegative("clock");
-      fields.End();
-      if (any_batch_ && now < now_) throw WireError("the clock went backwards");
+      fields.ExpectEnd();
+      if (clock_set_ && now < now_) throw WireError("clock moved backwards");
       now_ = now;
-      any_batch_ = in_batch_ = true;
+      clock_set_ = in_batch_ = true;
       reply_.clear();
       return false;
     }
-    if (!in_batch_) throw WireError("outside a batch");
-    if (rows_due_ > 0 && verb != "ROW") throw WireError("rows of the list are missing");
+    if (!in_batch_) throw WireError("not inside a batch");
+    if (rows_remaining_ > 0 && verb != "ROW") throw WireError("expected a ROW line: the table is incomplete");
     if (verb == "COMMIT") {
-      fields.End();
+      fields.ExpectEnd();
       in_batch_ = false;
       reply_.append("DONE\n");
       return true;
@@ -149,12 +154,18 @@
 void Host::Dispatch(std::string_view verb, Fields& fields) {
   using Handler = void (Host::*)(Fields&);
   static const std::unordered_map<std::string_view, Handler> kHandlers = {
-      {"ARRIVAL", &Host::OnArrival},   {"RESOLVED", &Host::OnResolved},
-      {"DUE", &Host::OnTimerDue},      {"TIMED_OUT_CLIENT", &Host::OnClientGone},
-      {"HEADERS", &Host::OnHeaders},   {"ROW", &Host::AddRow},
-      {"TABLE", &Host::BeginTable},    {"DISCOVERY", &Host::Discovery},
-      {"PROVISION", &Host::Provision}, {"DOWN", &Host::RemoveInstance},
-      {"ECHO", &Host::OnProbed},       {"MESSAGE", &Host::OnPeerMessage},
+      {"ARRIVAL", &Host::OnArrival},
+      {"RESOLVED", &Host::OnResolved},
+      {"DUE", &Host::OnTimerDue},
+      {"TIMED_OUT_CLIENT", &Host::OnClientTimedOut},
+      {"HEADERS", &Host::OnHeaders},
+      {"ROW", &Host::AddRow},
+      {"TABLE", &Host::BeginTable},
+      {"DISCOVERY", &Host::OnDiscovery},
+      {"PROVISION", &Host::CreateInstance},
+      {"DOWN", &Host::RemoveInstance},
+      {"ECHO", &Host::OnProbed},
+      {"MESSAGE", &Host::OnPeerMessage},
   };
   const auto handler = kHandlers.find(verb);
   if (handler == kHandlers.end()) throw WireError("unknown verb");
@@ -162,7 +173,7 @@
 }
 
 void Host::OnArrival(Fields& fields) {
-  Instance& instance = Find(fields);
+  Instance& instance = FindInstance(fields);
   Request request;
   request.id = fields.Word("call");
   const auto cost = fields.OptionalInt("cost_us");
@@ -171,7 +182,7 @@
   const auto options = fields.OptionalInt("options").value_or(0);
   const std::string_view request_class = fields.Word("qos");
   const std::string_view key = fields.Word("name_key");
-  fields.End();
+  fields.ExpectEnd();
   if (cost && *cost < 0) throw WireError("cost_us: negative");
   if (options & 1) request.cost = cost;
   request.is_retry = (options & 2) != 0;
@@ -183,7 +194,7 @@
 }
 
 void Host::OnResolved(Fields& fields) {
-  Instance& instance = Find(fields);
+  Instance& instance = FindInstance(fields);
   Outcome outcome;
   outcome.request = fields.Word("call");
   outcome.attempt = static_cast<int>(std::min<std::int64_t>(fields.NonNegative("leg"), 1'000'000));
@@ -192,71 +203,71 @@
   outcome.elapsed = fields.NonNegative("wait_time_us");
   outcome.settled = fields.Bool("settled");
   outcome.load = ParseLoad(fields.Word("stats"));
-  fields.End();
+  fields.ExpectEnd();
   instance.Run([&](Balancer& b) { b.OnOutcome(now_, outcome); });
 }
 
 void Host::OnTimerDue(Fields& fields) {
-  Instance& instance = Find(fields);
+  Instance& instance = FindInstance(fields);
   const std::uint64_t token = fields.Unsigned("ref");
-  fields.End();
+  fields.ExpectEnd();
   instance.Run([&](Balancer& b) { b.OnTimer(now_, token); });
 }
 
-void Host::OnClientGone(Fields& fields) {
-  Instance& instance = Find(fields);
+void Host::OnClientTimedOut(Fields& fields) {
+  Instance& instance = FindInstance(fields);
   const std::string_view request = fields.Word("call");
-  fields.End();
+  fields.ExpectEnd();
   instance.Run([&](Balancer& b) { b.OnClientDisconnected(now_, request); });
 }
 
 void Host::OnHeaders(Fields& fields) {
-  Instance& instance = Find(fields);
+  Instance& instance = FindInstance(fields);
   const std::string_view request = fields.Word("call");
   const auto attempt = static_cast<int>(std::min<std::int64_t>(fields.NonNegative("leg"), 1'000'000));
   fields.Word("server");
   fields.NonNegative("wait_time_us");
-  fields.End();
+  fields.ExpectEnd();
   instance.Run([&](Balancer& b) { b.OnResponseStarted(now_, request, attempt); });
 }
 
 void Host::BeginTable(Fields& fields) {
   const std::int64_t table = fields.NonNegative("page");
-  if (table >= static_cast<std::int64_t>(kTables)) throw WireError("page: over 15");
-  rows_due_ = fields.NonNegative("rows");
-  fields.End();
-  table_ = static_cast<std::size_t>(table);
-  tables_[table_].clear();
+  if (table >= static_cast<std::int64_t>(kMaxTables)) throw WireError("page: not in the range 0 to 15");
+  rows_remaining_ = fields.NonNegative("rows");
+  fields.ExpectEnd();
+  current_table_ = static_cast<std::size_t>(table);
+  tables_[current_table_].clear();
 }
 
 void Host::RemoveInstance(Fields& fields) {
-  const std::int64_t number = InstanceNumber(fields);
-  fields.End();
-  if (instances_.erase(number) == 0) throw WireError("no such instance");
+  const std::int64_t number = ParseInstanceNumber(fields);
+  fields.ExpectEnd();
+  if (instances_.erase(number) == 0) throw WireError("unknown instance");
 }
 
 void Host::OnProbed(Fields& fields) {
-  Instance& instance = Find(fields);
+  Instance& instance = FindInstance(fields);
   ProbeResult probe;
   probe.server = fields.Word("server");
   probe.result = ParseResult(fields.Word("outcome"));
   probe.elapsed = fields.NonNegative("wait_time_us");
   probe.load = ParseLoad(fields.Word("stats"));
-  fields.End();
+  fields.ExpectEnd();
   instance.Run([&](Balancer& b) { b.OnProbed(now_, probe); });
 }
 
 void Host::OnPeerMessage(Fields& fields) {
-  Instance& instance = Find(fields);
+  Instance& instance = FindInstance(fields);
   const auto sender =
       static_cast<std::uint32_t>(std::min<std::int64_t>(fields.NonNegative("sender"), 1'000'000'000));
   const std::string bytes = ParseHex(fields.Word("blob"));
-  fields.End();
+  fields.ExpectEnd();
   instance.Run([&](Balancer& b) { b.OnPeerMessage(now_, sender, bytes); });
 }
 
 void Host::AddRow(Fields& fields) {
-  if (rows_due_ == 0) throw WireError("outside a list");
+  if (rows_remaining_ == 0) throw WireError("no more rows expected");
   Row row;
   row.machine = fields.Word("generation_hw");
   row.zone = fields.Word("failure_domain");
@@ -267,44 +278,46 @@
   row.info.cell = fields.OptionalInt("bay").value_or(-1);
   row.info.id = fields.Word("server");
   row.info.state = ParseState(fields.Word("readiness"));
-  fields.End();
-  tables_[table_].push_back(std::move(row));
-  --rows_due_;
+  fields.ExpectEnd();
+  tables_[current_table_].push_back(std::move(row));
+  --rows_remaining_;
 }
 
-void Host::Provision(Fields& fields) {
+void Host::CreateInstance(Fields& fields) {
   const std::string_view name = Fields(fields).Word("sidecar");
-  const std::int64_t number = InstanceNumber(fields);
+  const std::int64_t number = ParseInstanceNumber(fields);
   const std::uint64_t seed = fields.Unsigned("seed");
-  WireSettings wire = ParseSettings(fields.Rest());
-  instances_[number] = std::make_unique<Instance>(name, seed, std::move(wire), now_, reply_);
+  WireSettings wire_settings = ParseSettings(fields.TakeRest());
+  instances_[number] = std::make_unique<Instance>(name, seed, std::move(wire_settings), now_, reply_);
 }
 
-void Host::Discovery(Fields& fields) {
-  Instance& instance = Find(fields);
+void Host::OnDiscovery(Fields& fields) {
+  Instance& instance = FindInstance(fields);
   const std::string_view kind = fields.Word("kind");
   const std::int64_t version = fields.OptionalInt("version").value_or(0);
   const std::int64_t table = fields.OptionalInt("page").value_or(0);
-  fields.End();
-  if (kind == "X") return instance.Servers(now_, ListUpdate::Kind::kFailed, version, nullptr);
-  if (table < 0 || table >= static_cast<std::int64_t>(kTables)) throw WireError("page: outside 0 to 15");
+  fields.ExpectEnd();
+  if (kind == "X") return instance.UpdateServers(now_, ListUpdate::Kind::kFailed, version, nullptr);
+  if (table < 0 || table >= static_cast<std::int64_t>(kMaxTables))
+    throw WireError("page: not in the range 0 to 15");
   const std::vector<Row>* rows = &tables_[static_cast<std::size_t>(table)];
-  if (kind == "D") return instance.Servers(now_, ListUpdate::Kind::kDelta, version, rows);
-  if (kind == "F") return instance.Servers(now_, ListUpdate::Kind::kFull, version, rows);
-  if (kind == "C") return instance.Servers(now_, ListUpdate::Kind::kStale, version, rows);
-  throw WireError("kind: not D, F, C or X");
+  if (kind == "D") return instance.UpdateServers(now_, ListUpdate::Kind::kDelta, version, rows);
+  if (kind == "F") return instance.UpdateServers(now_, ListUpdate::Kind::kFull, version, rows);
+  if (kind == "C") return instance.UpdateServers(now_, ListUpdate::Kind::kStale, version, rows);
+  throw WireError("kind: must be D, F, C or X");
 }
 
-Host::Instance& Host::Find(Fields& fields) {
-  const auto it = instances_.find(InstanceNumber(fields));
-  if (it == instances_.end()) throw WireError("no such instance");
+Host::Instance& Host::FindInstance(Fields& fields) {
+  const auto it = instances_.find(ParseInstanceNumber(fields));
+  if (it == instances_.end()) throw WireError("unknown instance");
   return *it->second;
 }
 
-std::int64_t Host::InstanceNumber(Fields& fields) {
+std::int64_t Host::ParseInstanceNumber(Fields& fields) {
   const std::string_view name = fields.Word("sidecar");
-  if (name.substr(0, kPrefix.size()) != kPrefix) throw WireError("sidecar: not sidecar/NUMBER");
-  return Fields(name.substr(kPrefix.size())).NonNegative("sidecar");
+  if (name.substr(0, kInstancePrefix.size()) != kInstancePrefix)
+    throw WireError("sidecar: expected sidecar/NUMBER");
+  return Fields(name.substr(kInstancePrefix.size())).NonNegative("sidecar");
 }
 
 }  // namespace violetwing::bench_adapter
--- a/src/bench_adapter/host.hpp
+++ b/src/bench_adapter/host.hpp
@@ -1,5 +1,4 @@
-// The instances of one process: takes the wire's lines, drives a Balancer for each sidecar, collects the
-// reply.
+// Hosts the balancer instances of one adapter process and dispatches protocol lines to them.
 #ifndef VIOLETWING_BENCH_ADAPTER_HOST_HPP_
 #define VIOLETWING_BENCH_ADAPTER_HOST_HPP_
 
@@ -16,53 +15,57 @@
 
 namespace violetwing::bench_adapter {
 
+/// Runs one Balancer for each simulated sidecar. Reads the protocol line by line and collects the actions of
+/// all instances as the reply to the batch. Not thread-safe.
 class Host {
  public:
   Host();
   ~Host();
-  // Takes one line, without its newline. True when the line ended a batch: reply() is then complete.
-  // Throws WireError, with the line number and the verb, if the line is malformed.
-  bool Line(std::string_view line);
-  // The reply to the batch; valid until the next call of Line.
+  /// Processes one line, given without its newline. Returns true if the line ended a batch; reply() is then
+  /// complete. Throws WireError, with the line number and the verb, if the line is malformed.
+  bool ProcessLine(std::string_view line);
+  /// The reply to the current batch. The reference is invalidated by the next call of ProcessLine().
   const std::string& reply() const { return reply_; }
+  /// True between the BEGIN_BATCH and COMMIT lines of a batch.
   bool in_batch() const { return in_batch_; }
 
  private:
   class Instance;
-  static constexpr std::size_t kTables = 16;
+  static constexpr std::size_t kMaxTables = 16;
 
-  struct Row {  // an entry as the wire gives it; zones and kinds become indices for each instance
+  // A server as received. Each instance maps the zone and machine type to the indices in its own settings.
+  struct Row {
     ServerInfo info;
     std::string zone;
     std::string machine;
   };
 
   void Dispatch(std::string_view verb, Fields& fields);
-  // One for each verb of the wire.
+  // Handlers, one for each protocol verb.
   void OnArrival(Fields& fields);
   void OnResolved(Fields& fields);
   void OnTimerDue(Fields& fields);
-  void OnClientGone(Fields& fields);
+  void OnClientTimedOut(Fields& fields);
   void OnHeaders(Fields& fields);
   void AddRow(Fields& fields);
   void BeginTable(Fields& fields);
-  void Discovery(Fields& fields);
-  void Provision(Fields& fields);
+  void OnDiscovery(Fields& fields);
+  void CreateInstance(Fields& fields);
   void RemoveInstance(Fields& fields);
   void OnProbed(Fields& fields);
   void OnPeerMessage(Fields& fields);
-  Instance& Find(Fields& fields);
-  static std::int64_t InstanceNumber(Fields& fields);
+  Instance& FindInstance(Fields& fields);
+  static std::int64_t ParseInstanceNumber(Fields& fields);
 
   std::string reply_;
   std::uint64_t line_number_ = 0;
   Micros now_ = 0;
-  bool any_batch_ = false;
+  bool clock_set_ = false;
   bool in_batch_ = false;
-  std::array<std::vector<Row>, kTables> tables_;
-  std::size_t table_ = 0;
-  std::int64_t rows_due_ = 0;
-  std::unordered_map<std::int64_t, std::unique_ptr<Instance>> instances_;  // looked up, never walked
+  std::array<std::vector<Row>, kMaxTables> tables_;
+  std::size_t current_table_ = 0;
+  std::int64_t rows_remaining_ = 0;
+  std::unordered_map<std::int64_t, std::unique_ptr<Instance>> instances_;  // by number; never iterated
 };
 
 }  // namespace violetwing::bench_adapter
--- a/src/bench_adapter/main.cpp
+++ b/src/bench_adapter/main.cpp
@@ -1,5 +1,6 @@
-// Reads batches from standard input, writes one flushed reply for each to standard output.
-// Exit status: 0 at the end of input, 1 if the reply cannot be written, 2 on malformed input.
+// Reads batches from standard input and writes one reply per batch, unbuffered, to standard output.
+// Exit status: 0 at the end of input, 1 if a reply cannot be written, 2 on a read error or
+// malformed input.
 #include <unistd.h>
 
 #include <cerrno>
@@ -14,43 +15,46 @@
 
 namespace {
 
-constexpr std::size_t kReadSize = std::size_t{1} << 18;
+constexpr std::size_t kReadBufferBytes = std::size_t{1} << 18;
 
 bool WriteAll(std::string_view text) {
   while (!text.empty()) {
-    const ssize_t written = ::write(STDOUT_FILENO, text.data(), text.size());
-    if (written < 0 && errno == EINTR) continue;
-    if (written <= 0) return false;
-    text.remove_prefix(static_cast<std::size_t>(written));
+    const ssize_t bytes_written = ::write(STDOUT_FILENO, text.data(), text.size());
+    if (bytes_written < 0 && errno == EINTR) continue;
+    if (bytes_written <= 0) return false;
+    text.remove_prefix(static_cast<std::size_t>(bytes_written));
   }
   return true;
 }
 
 int Serve() {
   violetwing::bench_adapter::Host host;
-  std::vector<char> chunk(kReadSize);
-  std::string partial;  // a line whose end has not been read yet
+  std::vector<char> buffer(kReadBufferBytes);
+  std::string partial_line;  // start of a line whose newline has not been read yet
   for (;;) {
-    const ssize_t got = ::read(STDIN_FILENO, chunk.data(), chunk.size());
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0) {
-      std::fprintf(stderr, "read: %s\n", std::strerror(errno));
+    const ssize_t bytes_read = ::read(STDIN_FILENO, buffer.data(), buffer.size());
+    if (bytes_read < 0 && errno == EINTR) continue;
+    if (bytes_read < 0) {
+      std::fprintf(stderr, "violetwing-bench-adapter: cannot read standard input: %s\n",
+                   std::strerror(errno));
       return 2;
     }
-    if (got == 0) break;
-    std::string_view rest(chunk.data(), static_cast<std::size_t>(got));
-    for (std::size_t end = rest.find('\n'); end != std::string_view::npos; end = rest.find('\n')) {
-      std::string_view line = rest.substr(0, end);
-      if (!partial.empty()) line = partial.append(line);
-      if (host.Line(line) && !WriteAll(host.reply())) return 1;
-      partial.clear();
-      rest.remove_prefix(end + 1);
+    if (bytes_read == 0) break;
+    std::string_view unprocessed(buffer.data(), static_cast<std::size_t>(bytes_read));
+    for (std::size_t newline = unprocessed.find('\n'); newline != std::string_view::npos;
+         newline = unprocessed.find('\n')) {
+      std::string_view line = unprocessed.substr(0, newline);
+      if (!partial_line.empty()) line = partial_line.append(line);
+      if (host.ProcessLine(line) && !WriteAll(host.reply())) return 1;
+      partial_line.clear();
+      unprocessed.remove_prefix(newline + 1);
     }
-    partial.append(rest);
+    partial_line.append(unprocessed);
   }
-  if (!partial.empty()) host.Line(partial);  // its end was cut off, and it says what is wrong if it must
-  if (host.in_batch() || !partial.empty()) {
-    std::fprintf(stderr, "the input ends within a batch\n");
+  // The input ended without a newline. Processing the line reports a specific error if it is malformed.
+  if (!partial_line.empty()) host.ProcessLine(partial_line);
+  if (host.in_batch() || !partial_line.empty()) {
+    std::fprintf(stderr, "violetwing-bench-adapter: input ended inside a batch or line\n");
     return 2;
   }
   return 0;
