--- a/tests/dataplane/dataplane_test.cpp
+++ b/tests/dataplane/dataplane_test.cpp
@@ -474,7 +474,7 @@
   CHECK(leaves.requests() == before);
 }
 
-TEST_CASE("A request waits for a model that can load in time; otherwise it is rejected at once") {
+TEST_CASE("A request waits for a model that can load in time, and is rejected at once otherwise") {
   Sidecar sidecar;
   ScriptedServer server(sidecar.io, AlwaysRespond(Reply("200 OK", "bytes", kSigned)));
   sidecar.SetModelServer(server, {});
--- a/tests/node/processes_test.cpp
+++ b/tests/node/processes_test.cpp
@@ -234,7 +234,7 @@
 
 // A process that started without its stored term and vote could vote twice in a term.
 TEST_CASE(
-    "A control process with a corrupt store exits with status 1 and one log line; the others continue") {
+    "A control process with a corrupt store exits with status 1 and one log line, and the others continue") {
   System system;
   REQUIRE(system.Configure(3, 0) == 200);
   NodeProcess& damaged = *system.processes[0];
