--- a/src/sidecar/inbound.cpp
+++ b/src/sidecar/inbound.cpp
@@ -20,7 +20,7 @@
 namespace violetwing::sidecar {
 namespace {
 
-// PauseDeadline before accepting again when file descriptors have run out, so that the loop does not spin on
+// Delay before accepting again when file descriptors have run out, so that the loop does not spin on
 // EMFILE.
 constexpr auto kAcceptPause = std::chrono::milliseconds(50);
 // How long a connection that the sidecar closes after a response keeps reading. Closing a socket with unread
--- a/src/sidecar/upstream.hpp
+++ b/src/sidecar/upstream.hpp
@@ -1,4 +1,4 @@
-// Connection pool to the servers. Each connection may_have_body one request at a time, and the most recently
+// Connection pool to the servers. Each connection carries one request at a time, and the most recently
 // used idle connection is reused first. Every attempt is sent at most once and its result is reported; the
 // pool never retries.
 #ifndef VIOLETWING_SIDECAR_UPSTREAM_HPP_
